--- a/bench/CapacityMain.cpp
+++ b/bench/CapacityMain.cpp
@@ -281,7 +281,7 @@
                                .m_Serving = Digest.m_Serving,
                                .m_Pressure = 0.5});
   }
-  Input.m_Callable = Rows.callable();
+  Input.m_Callable = Rows.callableArtifacts();
   Input.m_Catalogue = &Rows.catalogue();
   for (int Number = 0; Number < Of.m_Models; ++Number)
     Input.m_Demand[modelName(Number)] = 1;
@@ -328,7 +328,7 @@
     EngineSpec Spec{.m_Slots = 64,
                     .m_WeightsMb = 220000,
                     .m_AdapterCapacity = 8,
-                    .m_LoadsPerS = 13};
+                    .m_LoadsPerSecond = 13};
     for (int Number = 0; Number < Models; ++Number)
       Spec.m_Models.push_back({.m_Name = modelName(Number).str(),
                                .m_SizeMb = 72700,
--- a/bench/Simulation.cpp
+++ b/bench/Simulation.cpp
@@ -105,7 +105,7 @@
           Served{.m_Engine = FakeEngine(Name, EngineMemory, Number % 2 == 0),
                  .m_Admission = UpstreamAdmission({.m_Slots = SlotsPerEngine,
                                                    .m_WeightOf = WeightOf,
-                                                   .m_FirstServiceTime = 4s}),
+                                                   .m_InitialServiceTime = 4s}),
                  .m_Centre = Where});
       m_Centres[static_cast<std::size_t>(Where)].m_Engines.push_back(Name);
     }
--- a/packages/decisions/process/LoadCeiling.cpp
+++ b/packages/decisions/process/LoadCeiling.cpp
@@ -6,7 +6,7 @@
 
 std::size_t LoadCeiling::most() const {
   const double Seconds = inSeconds(m_Opts.m_Window);
-  const double Bound = m_Opts.m_LoadsPerS * Seconds * m_Opts.m_Overage;
+  const double Bound = m_Opts.m_LoadsPerSecond * Seconds * m_Opts.m_Overage;
   return std::max<std::size_t>(1, static_cast<std::size_t>(Bound) +
                                       m_Opts.m_Slack);
 }
--- a/packages/decisions/process/LoadCeiling.h
+++ b/packages/decisions/process/LoadCeiling.h
@@ -19,7 +19,7 @@
 class LoadCeiling {
 public:
   struct Options {
-    double m_LoadsPerS = 1;
+    double m_LoadsPerSecond = 1;
     Duration m_Window = 5s;
     double m_Overage = 1; ///< Factor by which the bound may be passed.
     /// Loads beyond it; the platform allows three, one is kept in hand.
--- a/packages/decisions/process/QuotaBook.cpp
+++ b/packages/decisions/process/QuotaBook.cpp
@@ -38,7 +38,8 @@
 void QuotaBook::fill(Bucket &Of, TimePoint Now) const {
   const Duration Passed = std::max<Duration>(0us, Now - Of.m_FilledAt);
   Of.m_FilledAt = std::max(Of.m_FilledAt, Now);
-  const double Earned = Of.m_Quota.m_RatePerS * m_Share * inSeconds(Passed);
+  const double Earned =
+      Of.m_Quota.m_RatePerSecond * m_Share * inSeconds(Passed);
   Of.m_Level = std::min(cap(Of), Of.m_Level + Earned);
 }
 
@@ -190,8 +191,8 @@
 /// out to be used by then, and is asked for once more.
 QuotaVerdict QuotaBook::notNow(Bucket &Of, const QuotaRequest &Request,
                                TimePoint Now) const {
-  const double Rate = Of.m_Quota.m_RatePerS * m_Share;
-  const double OwnRate = Of.m_Quota.m_RatePerS * ownPart();
+  const double Rate = Of.m_Quota.m_RatePerSecond * m_Share;
+  const double OwnRate = Of.m_Quota.m_RatePerSecond * ownPart();
   if (Rate <= 0 || OwnRate <= 0)
     return {.m_After = m_Opts.m_Silence};
   const double Debt = m_Opts.m_DebtPart * slack(Of);
@@ -259,7 +260,7 @@
       Of->m_Level = std::min(cap(*Of), Word.m_Level);
     return;
   }
-  const double Own = Forgiven * Of->m_Quota.m_RatePerS;
+  const double Own = Forgiven * Of->m_Quota.m_RatePerSecond;
   Of->m_Level -= Used > 0 ? std::max(0.0, Used - Own) : Used;
 }
 
@@ -289,7 +290,7 @@
       Result[Name] = {.m_Granted = Granted,
                       .m_Refused = Refused,
                       .m_Level = Of.m_Level,
-                      .m_RatePerS = Of.m_Quota.m_RatePerS};
+                      .m_RatePerSecond = Of.m_Quota.m_RatePerSecond};
   }
   return Result;
 }
--- a/packages/decisions/process/QuotaBook.h
+++ b/packages/decisions/process/QuotaBook.h
@@ -24,7 +24,7 @@
 
   /// Units of \p Of beyond the quota in one window.
   double slack(const Quota &Of) const {
-    return m_Overage * (Of.m_RatePerS * inSeconds(m_Window) + Of.m_Burst) +
+    return m_Overage * (Of.m_RatePerSecond * inSeconds(m_Window) + Of.m_Burst) +
            m_Allowance;
   }
 };
@@ -76,7 +76,7 @@
   double m_Granted = 0; ///< Units that this box let pass.
   double m_Refused = 0; ///< Units of requests that it turned away.
   double m_Level = 0;   ///< Of its copy of the bucket.
-  double m_RatePerS = 0;
+  double m_RatePerSecond = 0;
 
   bool operator==(const QuotaAccount &) const = default;
 };
--- a/packages/decisions/request/AllowedRegions.cpp
+++ b/packages/decisions/request/AllowedRegions.cpp
@@ -23,11 +23,11 @@
 }
 
 bool AllowedRegions::allows(const RegionName &Region) const {
-  return !bound() || (!Region.empty() && m_Regions->contains(Region));
+  return !restricted() || (!Region.empty() && m_Regions->contains(Region));
 }
 
 std::string AllowedRegions::text() const {
-  if (!bound())
+  if (!restricted())
     return "all";
   std::string Text;
   for (const RegionName &Each : *m_Regions)
--- a/packages/decisions/request/AllowedRegions.h
+++ b/packages/decisions/request/AllowedRegions.h
@@ -11,7 +11,7 @@
 namespace havenstair {
 
 /// What route and organisation allow together: both bind where both name
-/// regions, and one that names none allows all.
+/// regions, and one that names allowsNone allows all.
 class AllowedRegions {
 public:
   /// All regions.
@@ -22,9 +22,9 @@
   bool operator==(const AllowedRegions &) const = default;
 
   /// Whether not all regions are allowed.
-  bool bound() const { return m_Regions.has_value(); }
-  /// Whether none is: route and organisation have no region in common.
-  bool none() const { return bound() && m_Regions->empty(); }
+  bool restricted() const { return m_Regions.has_value(); }
+  /// Whether allowsNone is: route and organisation have no region in common.
+  bool allowsNone() const { return restricted() && m_Regions->empty(); }
   /// Where regions are named, a data centre without one is not allowed.
   bool allows(const RegionName &Region) const;
   /// For people: the names, or "all".
--- a/packages/decisions/request/CallerIdentity.cpp
+++ b/packages/decisions/request/CallerIdentity.cpp
@@ -13,7 +13,7 @@
     return Refused(ErrorKind::UnknownKey);
   if (!Given.m_Key)
     return Of.m_Public ? CallerIdentity{} : Refused(ErrorKind::MissingKey);
-  const Organisation *Holder = Config.holderOf(*Given.m_Key);
+  const Organisation *Holder = Config.organisationFor(*Given.m_Key);
   if (Holder == nullptr)
     return Refused(ErrorKind::UnknownKey);
   return {.m_Organisation = Holder, .m_Refusal = std::nullopt};
--- a/packages/decisions/request/ErrorKind.h
+++ b/packages/decisions/request/ErrorKind.h
@@ -45,8 +45,8 @@
   NoConfiguration,
   RouteTimeout,
   Stopping,
-  RequestBarred,
-  ServersEnded,
+  RequestQuarantined,
+  UpstreamsCrashed,
   Internal
 };
 
@@ -63,8 +63,8 @@
 struct ErrorAnswer {
   int m_HttpStatus;
   std::string_view m_Code; ///< Stable code, also the metric label.
-  RunState m_Run;
-  bool m_ComeBack; ///< Whether a `Retry-After` makes sense.
+  RunState m_RunState;
+  bool m_HasRetryAfter; ///< Whether a `Retry-After` makes sense.
   std::string_view m_Message;
 };
 
--- a/packages/decisions/request/EventSplitter.cpp
+++ b/packages/decisions/request/EventSplitter.cpp
@@ -29,11 +29,11 @@
   const std::size_t End = endOfEvents(m_Rest);
   std::string Whole = m_Rest.substr(0, End);
   m_Rest.erase(0, End);
-  noteIds(Whole);
+  recordIds(Whole);
   return Whole;
 }
 
-void EventSplitter::noteIds(std::string_view Events) {
+void EventSplitter::recordIds(std::string_view Events) {
   std::size_t Start = 0;
   while (Start < Events.size()) {
     const std::size_t End = std::min(Events.find('\n', Start), Events.size());
--- a/packages/decisions/request/EventSplitter.h
+++ b/packages/decisions/request/EventSplitter.h
@@ -23,7 +23,7 @@
   std::optional<std::int64_t> lastId() const { return m_LastId; }
 
 private:
-  void noteIds(std::string_view Events);
+  void recordIds(std::string_view Events);
 
   std::string m_Rest;
   std::optional<std::int64_t> m_LastId;
--- a/packages/decisions/request/ForwardingPolicy.cpp
+++ b/packages/decisions/request/ForwardingPolicy.cpp
@@ -33,7 +33,7 @@
   return StepNames.at(static_cast<std::size_t>(Step));
 }
 
-bool needsBudget(ForwardingStep Step, SendOutcome Outcome) {
+bool needsRetryBudget(ForwardingStep Step, SendOutcome Outcome) {
   const bool Repeat =
       Step == ForwardingStep::SendAgain || Step == ForwardingStep::Resume;
   return Repeat && Outcome != SendOutcome::NotSent;
@@ -54,7 +54,7 @@
   return giveUp(Outcome, Facts);
 }
 
-bool promisesNotRun(int Status) {
+bool impliesNotRun(int Status) {
   return Status == 429 || Status == 503 || Status == 408 || Status == 421;
 }
 
--- a/packages/decisions/request/ForwardingPolicy.h
+++ b/packages/decisions/request/ForwardingPolicy.h
@@ -46,7 +46,7 @@
 
 /// Whether \p Step needs a repeat of the shared budget when the last send had
 /// \p Outcome. A send that never arrived costs nothing.
-bool needsBudget(ForwardingStep Step, SendOutcome Outcome);
+bool needsRetryBudget(ForwardingStep Step, SendOutcome Outcome);
 
 /// The step after \p Outcome. \p BudgetLeft: a repeat may be spent.
 ForwardingStep nextStep(SendOutcome Outcome, const ForwardingFacts &Facts,
@@ -54,7 +54,7 @@
 
 /// Whether \p Status, given by an upstream that does not say that it did not
 /// run the request, would be read by the caller as a promise that it did not.
-bool promisesNotRun(int Status);
+bool impliesNotRun(int Status);
 
 } // namespace havenstair
 
--- a/packages/decisions/request/ReplicaAdmission.cpp
+++ b/packages/decisions/request/ReplicaAdmission.cpp
@@ -19,16 +19,16 @@
 constexpr double AwaySpread = 0.5;
 
 AdmissionDecision send() {
-  return {.m_Step = AdmissionStep::Send, .m_For = 0us, .m_Reason = "sent"};
+  return {.m_Step = AdmissionStep::Send, .m_Delay = 0us, .m_Reason = "sent"};
 }
 
 AdmissionDecision wait(Duration For, std::string_view Reason) {
-  return {.m_Step = AdmissionStep::Wait, .m_For = For, .m_Reason = Reason};
+  return {.m_Step = AdmissionStep::Wait, .m_Delay = For, .m_Reason = Reason};
 }
 
 AdmissionDecision refuse(Duration Away, std::string_view Reason) {
   return {.m_Step = AdmissionStep::Refuse,
-          .m_For = std::max(Away, LeastAway),
+          .m_Delay = std::max(Away, LeastAway),
           .m_Reason = Reason};
 }
 
@@ -39,14 +39,14 @@
 /// Time in which the caller still takes a first token.
 Duration patience(const AdmissionFacts &Facts, const AdmissionOptions &Opts) {
   const Duration Silence = std::max(
-      {Opts.m_LeastPatience, part(Opts.m_PatienceTargets, Facts.m_Target),
-       part(Opts.m_PatienceGaps, Facts.m_GapTarget)});
+      {Opts.m_MinPatience, part(Opts.m_PatienceTargetFactor, Facts.m_Target),
+       part(Opts.m_PatienceGapFactor, Facts.m_GapTarget)});
   return std::min(Facts.m_TimeLeft, Silence - Facts.m_Waited);
 }
 
 Duration longestAway(const AdmissionFacts &Facts,
                      const AdmissionOptions &Opts) {
-  return part(Opts.m_LongestAwayPart, Facts.m_TimeLeft);
+  return part(Opts.m_MaxRetryAfterFraction, Facts.m_TimeLeft);
 }
 
 /// When a replica that is under way serves, if the caller can wait so long.
@@ -62,12 +62,14 @@
   const Duration Away = Facts.m_ServesIn
                             ? awayUntil(*Facts.m_ServesIn, Facts, Opts, Jitter)
                             : longestAway(Facts, Opts);
-  if (Opts.m_Spread * Start.m_FirstMs > inMillis(patience(Facts, Opts)))
+  if (Opts.m_EstimateErrorFactor * Start.m_FirstTokenMs >
+      inMillis(patience(Facts, Opts)))
     return refuse(Away, "too_late");
   const double Target = inMillis(Facts.m_Target);
-  const double Own = std::min(Start.m_WorkMs, Opts.m_OwnPart * Target);
-  const double Others = Start.m_FirstMs - Start.m_WorkMs;
-  if (Others <= Opts.m_WaitPart * (Target - Own))
+  const double Own =
+      std::min(Start.m_WorkMs, Opts.m_MaxOwnWorkFraction * Target);
+  const double Others = Start.m_FirstTokenMs - Start.m_WorkMs;
+  if (Others <= Opts.m_MaxWaitFraction * (Target - Own))
     return send();
   return refuse(Away, "overloaded");
 }
@@ -83,7 +85,7 @@
     return refuse(awayUntil(*Facts.m_ServesIn, Facts, Opts, Jitter),
                   "loads_too_late");
   }
-  const Duration Known = fromMillis(Opts.m_LoadKnownWithinMs);
+  const Duration Known = fromMillis(Opts.m_LoadVisibleWithinMs);
   if (Facts.m_Waited < Known && Known - Facts.m_Waited < Left)
     return wait(Known - Facts.m_Waited, "asked_for");
   return refuse(longestAway(Facts, Opts), "not_loaded");
--- a/packages/decisions/request/ReplicaAdmission.h
+++ b/packages/decisions/request/ReplicaAdmission.h
@@ -12,8 +12,8 @@
 
 /// The best upstream that could take the request now.
 struct ExpectedStart {
-  double m_FirstMs = 0; ///< Until the first token.
-  double m_WorkMs = 0;  ///< The request's own part of it.
+  double m_FirstTokenMs = 0; ///< Until the first token.
+  double m_WorkMs = 0;       ///< The request's own part of it.
 
   bool operator==(const ExpectedStart &) const = default;
 };
@@ -36,7 +36,7 @@
   AdmissionStep m_Step = AdmissionStep::Send;
   /// Until the request is judged again at the latest, or the caller may come
   /// back.
-  Duration m_For = 0us;
+  Duration m_Delay = 0us;
   std::string_view m_Reason; ///< For the log.
 
   bool operator==(const AdmissionDecision &) const = default;
@@ -46,30 +46,30 @@
   /// Part of the target that a request's own work may take before it counts as
   /// waiting for others. It keeps admission from refusing large requests only
   /// because they are large.
-  double m_OwnPart = 0.5;
+  double m_MaxOwnWorkFraction = 0.5;
   /// A try is refused when the work of others before it would take more
   /// than this part of the target that its own work leaves: it would be late,
   /// and make those behind it late.
-  double m_WaitPart = 1.1;
+  double m_MaxWaitFraction = 1.1;
   /// First tokens come within this factor of what is expected, nearly always.
   /// 0.83 against 0.76 (mean score of 16 days, 18 engines) with 3 against 1.7.
-  double m_Spread = 2.9;
+  double m_EstimateErrorFactor = 2.9;
   /// Part of the caller's time left. Callers follow a told time up to a third
   /// of what they have left when they read it, which is less than what they
   /// had left here: of 1 s it leaves 20 ms for the way back. Told when nothing
   /// better is known: replicas come, and demand moves on, in seconds.
-  double m_LongestAwayPart = 0.32;
+  double m_MaxRetryAfterFraction = 0.32;
   /// A load that the order giver begins for a request that waits is known here
   /// within this: a plan each 200 ms, two hops of 250 ms.
-  double m_LoadKnownWithinMs = 750;
+  double m_LoadVisibleWithinMs = 750;
   /// Times the target, and times the longest pause, that a caller is believed
   /// to bear silence, the longer of both, within its deadline. Assumed, not
   /// learned: callers tell no more than their deadline, and whom these turn
   /// away would be served late at best.
-  double m_PatienceTargets = 4;
-  double m_PatienceGaps = 8;
+  double m_PatienceTargetFactor = 4;
+  double m_PatienceGapFactor = 8;
   /// Callers with targets of some hundred milliseconds bear at least this.
-  Duration m_LeastPatience = 2s;
+  Duration m_MinPatience = 2s;
 };
 
 /// \p Jitter, from 0 to 1, spreads those who are told to come back, so that
--- a/packages/decisions/request/ReplicaChoice.cpp
+++ b/packages/decisions/request/ReplicaChoice.cpp
@@ -33,12 +33,12 @@
 
 double tokensToRead(const UpstreamInstance &At, bool Preferred,
                     const RequestDescriptor &Request,
-                    const ReplicaKnowledge &Known,
+                    const ReplicaStatistics &Known,
                     const ReplicaWeights &Weights) {
   double Cached = Known.m_Prefixes.cachedTokens(At.m_Id, Request);
   if (Preferred)
-    Cached =
-        std::max(Cached, Weights.m_PreferredCached * sharedTokens(Request));
+    Cached = std::max(Cached, Weights.m_PreferredCachedFraction *
+                                  sharedTokens(Request));
   return std::max(1.0, Request.m_PromptTokens - Cached);
 }
 
@@ -65,7 +65,7 @@
 std::optional<ChosenReplica>
 chooseReplica(const std::vector<const UpstreamInstance *> &Candidates,
               const RequestDescriptor &Request, const std::string &OwnZone,
-              const ReplicaKnowledge &Known, const ReplicaWeights &Weights,
+              const ReplicaStatistics &Known, const ReplicaWeights &Weights,
               double Tie, TimePoint Now) {
   if (Candidates.empty())
     return std::nullopt;
@@ -77,7 +77,7 @@
   for (const UpstreamInstance *Each : Candidates) {
     const InstanceLoad Load = Known.m_Loads.load(Each->m_Id, Now);
     ChosenReplica Item{.m_Instance = Each, .m_PendingMs = Load.m_PendingMs};
-    Item.m_WorkMs = Weights.m_PlainMs;
+    Item.m_WorkMs = Weights.m_PlainWorkMs;
     // A plain server works on all its slots at once.
     if (!Engines)
       Item.m_PendingMs = Load.m_PendingMs / std::max(1, Each->m_Slots);
@@ -89,7 +89,7 @@
     // A slot becomes free each time that one of the answers ends.
     const double SlotMs = Engines ? Known.m_Latency.holdMs(Request.m_Model) /
                                         std::max(1, Each->m_Slots)
-                                  : Weights.m_OverfullMs;
+                                  : Weights.m_OverloadMs;
     const double Queue = Over * SlotMs + Load.m_Running * Weights.m_RunningMs;
     Item.m_ExpectedMs = Known.m_Latency.expectedMs(Each->m_Id, Item.m_PendingMs,
                                                    Item.m_WorkMs) +
@@ -101,11 +101,11 @@
       Item.m_ExpectedMs +=
           inMillis(Known.m_Bounds->permitWait(Each->m_Id, Now));
     Item.m_Limited = Bound && Bound->m_LimitPerS;
-    const double Burst =
-        std::max(0.0, Item.m_PendingMs + Item.m_WorkMs - Weights.m_QuietMs);
+    const double Burst = std::max(0.0, Item.m_PendingMs + Item.m_WorkMs -
+                                           Weights.m_InterferenceThresholdMs);
     Item.m_CostMs =
         Item.m_ExpectedMs +
-        (Engines ? Weights.m_Disturbance * Burst * Load.m_Running : 0) +
+        (Engines ? Weights.m_InterferenceFactor * Burst * Load.m_Running : 0) +
         (Bound ? boundMs(*Bound, Weights) : 0) +
         distanceMs(*Each, OwnZone, Known.m_DataCentres, Weights) +
         Known.m_Failures.rate(Each->m_Id, Now) * Weights.m_FailureMs;
@@ -125,7 +125,7 @@
       static_cast<std::size_t>(Tie * static_cast<double>(Judged.size()));
   ChosenReplica Chosen = Judged[std::min(Index, Judged.size() - 1)];
   if (LeastFree)
-    Chosen.m_SpareMs = std::max(0.0, *LeastFree - Chosen.m_CostMs);
+    Chosen.m_PermitSavingMs = std::max(0.0, *LeastFree - Chosen.m_CostMs);
   return Chosen;
 }
 
--- a/packages/decisions/request/ReplicaChoice.h
+++ b/packages/decisions/request/ReplicaChoice.h
@@ -26,16 +26,16 @@
   /// Cost of a failed try; times the upstream's failure rate.
   double m_FailureMs = 3000;
   /// For each request beyond the slots of a plain service.
-  double m_OverfullMs = 60;
+  double m_OverloadMs = 60;
   /// Part of the shared prompt that the engine preferred by all boxes is
   /// believed to have read when this box knows nothing.
-  double m_PreferredCached = 0.7;
+  double m_PreferredCachedFraction = 0.7;
   /// Work of a request to a plain service.
-  double m_PlainMs = 20;
+  double m_PlainWorkMs = 20;
   /// Prompts are read between the steps of running streams: cost for each
   /// stream and millisecond of work beyond what fits between two events.
-  double m_Disturbance = 0.06;
-  double m_QuietMs = 200;
+  double m_InterferenceFactor = 0.06;
+  double m_InterferenceThresholdMs = 200;
   /// Of a server that names a limit: a question to another box.
   double m_PermitMs = 5;
   /// For each running request, as it slows down all steps.
@@ -52,11 +52,11 @@
   bool m_Limited = false;  ///< The server names a limit.
   /// How much more the next one would cost that needs no permit; empty when
   /// there is none.
-  std::optional<double> m_SpareMs;
+  std::optional<double> m_PermitSavingMs;
 };
 
 /// The books that the choice reads.
-struct ReplicaKnowledge {
+struct ReplicaStatistics {
   const LoadBook &m_Loads;
   const PrefixIndex &m_Prefixes;
   const LatencyModel &m_Latency;
@@ -70,7 +70,7 @@
 std::optional<ChosenReplica>
 chooseReplica(const std::vector<const UpstreamInstance *> &Candidates,
               const RequestDescriptor &Request, const std::string &OwnZone,
-              const ReplicaKnowledge &Known, const ReplicaWeights &Weights,
+              const ReplicaStatistics &Known, const ReplicaWeights &Weights,
               double Tie, TimePoint Now);
 
 } // namespace havenstair
--- a/packages/decisions/request/RequestAttempts.cpp
+++ b/packages/decisions/request/RequestAttempts.cpp
@@ -2,7 +2,7 @@
 
 namespace havenstair {
 
-bool worthElsewhere(ErrorKind Kind) {
+bool isRetryableElsewhere(ErrorKind Kind) {
   switch (Kind) {
   case ErrorKind::Overloaded:
   case ErrorKind::NoResidentCopy:
@@ -47,13 +47,14 @@
   if (!accepts(Id))
     return Ignore{};
   m_Current = 0;
-  m_Last = Reason;
-  m_HasLast = true;
+  m_LastFailure = Reason;
+  m_HasLastFailure = true;
   // Only the box is to blame: the upstream may be tried through another.
   if (Reason.m_Kind == ErrorKind::OwnerLost ||
       Reason.m_Kind == ErrorKind::OwnerUnavailable)
     m_Tried.erase(m_CurrentUpstream);
-  const bool MayHaveRun = answerFor(Reason.m_Kind).m_Run == RunState::Unknown;
+  const bool MayHaveRun =
+      answerFor(Reason.m_Kind).m_RunState == RunState::Unknown;
   if (m_Delivered) {
     m_Done = true;
     return GiveUp{{.m_Kind = ErrorKind::StreamCut, .m_Detail = {}}};
@@ -62,14 +63,14 @@
     m_Done = true;
     return GiveUp{{.m_Kind = ErrorKind::OutcomeUnknown, .m_Detail = {}}};
   }
-  if (m_Count < m_Opts.m_MaxAttempts && worthElsewhere(Reason.m_Kind))
+  if (m_Count < m_Opts.m_MaxAttempts && isRetryableElsewhere(Reason.m_Kind))
     return TryElsewhere{};
   m_Done = true;
   return GiveUp{Reason};
 }
 
 Failure RequestAttempts::exhausted(const Failure &WhenNone) const {
-  return m_HasLast ? m_Last : WhenNone;
+  return m_HasLastFailure ? m_LastFailure : WhenNone;
 }
 
 } // namespace havenstair
--- a/packages/decisions/request/RequestAttempts.h
+++ b/packages/decisions/request/RequestAttempts.h
@@ -63,12 +63,12 @@
   int m_Count = 0;
   bool m_Delivered = false;
   bool m_Done = false;
-  Failure m_Last;
-  bool m_HasLast = false;
+  Failure m_LastFailure;
+  bool m_HasLastFailure = false;
 };
 
 /// Whether another upstream might do better after this kind.
-bool worthElsewhere(ErrorKind Kind);
+bool isRetryableElsewhere(ErrorKind Kind);
 
 } // namespace havenstair
 
--- a/packages/decisions/request/RequestStanding.cpp
+++ b/packages/decisions/request/RequestAuthorization.cpp
@@ -1,4 +1,4 @@
-#include "decisions/request/RequestStanding.h"
+#include "decisions/request/RequestAuthorization.h"
 
 #include "decisions/request/CallerIdentity.h"
 #include <algorithm>
@@ -22,26 +22,26 @@
 
 } // namespace
 
-RequestStanding::RequestStanding(ConfigPtr Config, const Route &Of,
-                                 const Organisation *Caller,
-                                 CallerCredentials Given)
-    : m_Config(std::move(Config)), m_Route(Of), m_Given(std::move(Given)),
+RequestAuthorization::RequestAuthorization(ConfigPtr Config, const Route &Of,
+                                           const Organisation *Caller,
+                                           CallerCredentials Given)
+    : m_Config(std::move(Config)), m_Route(Of), m_Credentials(std::move(Given)),
       m_Regions(Of, Caller) {}
 
-void RequestStanding::update(const ConfigPtr &Newest) {
+void RequestAuthorization::update(const ConfigPtr &Newest) {
   if (Newest == nullptr || Newest == m_Config)
     return;
   m_Config = Newest;
-  const CallerIdentity Caller = identifyCaller(*Newest, m_Route, m_Given);
+  const CallerIdentity Caller = identifyCaller(*Newest, m_Route, m_Credentials);
   m_KeyRefusal = Caller.m_Refusal;
   m_Regions = AllowedRegions(newestOf(*Newest, m_Route), Caller.m_Organisation);
 }
 
-std::optional<Failure> RequestStanding::refusal() const {
+std::optional<Failure> RequestAuthorization::refusal() const {
   if (m_KeyRefusal)
     return Failure{.m_Kind = *m_KeyRefusal,
                    .m_Detail = "the key was taken away"};
-  if (m_Regions.none())
+  if (m_Regions.allowsNone())
     return Failure{.m_Kind = ErrorKind::NoAllowedRegion,
                    .m_RetryAfter = UntilChanged,
                    .m_Detail = m_Regions.text()};
--- a/packages/decisions/request/RequestDescriptor.h
+++ b/packages/decisions/request/RequestDescriptor.h
@@ -29,8 +29,8 @@
   std::string m_Adapter; ///< Empty without one.
   std::vector<PromptPart> m_Prompt;
   int m_PromptTokens = 0;
-  int m_MostOutput = 0;
-  bool m_TokensTold = false; ///< The caller told both counts.
+  int m_MaxOutputTokens = 0;
+  bool m_HasTokenCounts = false; ///< The caller told both counts.
   CallerCredentials m_Caller;
   std::optional<std::int64_t> m_LastEvent; ///< The caller resumes after it.
   std::optional<Duration> m_Deadline;      ///< What is left at arrival.
--- a/packages/decisions/request/RetryAfterRefusal.cpp
+++ b/packages/decisions/request/RetryAfterRefusal.cpp
@@ -23,7 +23,7 @@
     if (!Until)
       return std::nullopt;
     if (!First || *Until - Now < First->m_After)
-      First = {.m_Server = Each->m_Id, .m_After = *Until - Now};
+      First = {.m_Upstream = Each->m_Id, .m_After = *Until - Now};
   }
   if (!First)
     return std::nullopt;
--- a/packages/decisions/request/RetryAfterRefusal.h
+++ b/packages/decisions/request/RetryAfterRefusal.h
@@ -13,7 +13,7 @@
 
 /// What a refusal rests on.
 struct RetryAfterRefusal {
-  InstanceId m_Server; ///< The one that takes requests again first.
+  InstanceId m_Upstream; ///< The one that takes requests again first.
   Duration m_After = 0us;
 
   bool operator==(const RetryAfterRefusal &) const = default;
--- a/packages/decisions/request/UpstreamAdmission.cpp
+++ b/packages/decisions/request/UpstreamAdmission.cpp
@@ -19,7 +19,7 @@
 
 UpstreamAdmission::UpstreamAdmission(Options Opts)
     : m_Opts(std::move(Opts)), m_Queue({.m_WeightOf = m_Opts.m_WeightOf}),
-      m_MeanService(m_Opts.m_FirstServiceTime) {}
+      m_MeanService(m_Opts.m_InitialServiceTime) {}
 
 AdmissionActions UpstreamAdmission::offer(QueuedRequest Request,
                                           TimePoint Now) {
@@ -75,7 +75,7 @@
   const int Free = m_Opts.m_Slots - static_cast<int>(m_Running.size());
   if (Free <= 0)
     return false;
-  const bool Reserving = m_Opts.m_Slots >= m_Opts.m_LeastSlotsToReserve;
+  const bool Reserving = m_Opts.m_Slots >= m_Opts.m_MinSlotsToReserve;
   if (!Reserving || Free > m_Opts.m_ReservedSlots)
     return true;
   if (!aboveShare(Group, runningOf(Group) / FarAbove + 1, Now))
--- a/packages/decisions/request/UpstreamAdmission.h
+++ b/packages/decisions/request/UpstreamAdmission.h
@@ -55,11 +55,11 @@
     /// Slots that a group above its share leaves free while another group that
     /// was active lately is below its own. None on upstreams with few slots.
     int m_ReservedSlots = 1;
-    int m_LeastSlotsToReserve = 4;
+    int m_MinSlotsToReserve = 4;
     /// How long a group without requests still counts as active.
     Duration m_ActiveFor = 30s;
     /// Service time assumed before any was measured.
-    Duration m_FirstServiceTime = 200ms;
+    Duration m_InitialServiceTime = 200ms;
   };
 
   explicit UpstreamAdmission(Options Opts);
--- /dev/null
+++ b/packages/decisions/request/UpstreamEligibility.cpp
@@ -0,0 +1,37 @@
+#include "decisions/request/UpstreamEligibility.h"
+
+namespace havenstair {
+
+bool UpstreamEligibility::inForbiddenRegion(const InstanceId &Id) const {
+  if (!m_Regions.restricted())
+    return false;
+  const UpstreamInstance *At = m_View.find(Id);
+  return At == nullptr ||
+         !m_Regions.allows(m_Map.regionOf(DataCentreName(At->m_Zone)));
+}
+
+std::vector<const UpstreamInstance *> UpstreamEligibility::candidates(
+    const std::function<bool(const InstanceId &)> &Excluded,
+    TimePoint Now) const {
+  return m_View.candidates(
+      m_Service, m_Request.m_Model, m_Request.m_Adapter,
+      [&](const InstanceId &Id) {
+        return Excluded(Id) || inForbiddenRegion(Id);
+      },
+      Now);
+}
+
+bool UpstreamEligibility::any() const {
+  return !m_Regions.restricted() ||
+         m_View.anyOf(m_Service, [&](const InstanceId &Id) {
+           return inForbiddenRegion(Id);
+         });
+}
+
+std::optional<TimePoint> UpstreamEligibility::servesAt(TimePoint Now) const {
+  return m_View.servesAt(
+      m_Service, m_Request.m_Model,
+      [&](const InstanceId &Id) { return inForbiddenRegion(Id); }, Now);
+}
+
+} // namespace havenstair
--- a/packages/decisions/request/RequestReach.h
+++ b/packages/decisions/request/UpstreamEligibility.h
@@ -1,7 +1,7 @@
 /// \file
 /// The upstreams that may take one request. See docs/design/regions.md.
-#ifndef HAVENSTAIR_DECISIONS_REQUEST_REQUESTREACH_H
-#define HAVENSTAIR_DECISIONS_REQUEST_REQUESTREACH_H
+#ifndef HAVENSTAIR_DECISIONS_REQUEST_UPSTREAMELIGIBILITY_H
+#define HAVENSTAIR_DECISIONS_REQUEST_UPSTREAMELIGIBILITY_H
 
 #include "decisions/common/DataCentreMap.h"
 #include "decisions/process/ServingView.h"
@@ -14,11 +14,11 @@
 
 /// What a box knows of the upstreams, as far as the request's regions go. Made
 /// for one decision; refers to what it is made from.
-class RequestReach {
+class UpstreamEligibility {
 public:
-  RequestReach(const ServingView &View, const DataCentreMap &Map,
-               const AllowedRegions &Regions, const std::string &Service,
-               const RequestDescriptor &Request)
+  UpstreamEligibility(const ServingView &View, const DataCentreMap &Map,
+                      const AllowedRegions &Regions, const std::string &Service,
+                      const RequestDescriptor &Request)
       : m_View(View), m_Map(Map), m_Regions(Regions), m_Service(Service),
         m_Request(Request) {}
 
@@ -34,7 +34,7 @@
 
 private:
   /// Whether \p Id is in a region that may not serve the request.
-  bool elsewhere(const InstanceId &Id) const;
+  bool inForbiddenRegion(const InstanceId &Id) const;
 
   const ServingView &m_View;
   const DataCentreMap &m_Map;
--- a/packages/decisions/version/Assignment.cpp
+++ b/packages/decisions/version/Assignment.cpp
@@ -77,7 +77,7 @@
   return Found->second;
 }
 
-int Assignment::placeOf(const UpstreamName &Upstream) const {
+int Assignment::indexOf(const UpstreamName &Upstream) const {
   const auto Found = m_OwnerOf.find(Upstream);
   if (Found == m_OwnerOf.end())
     return -1;
--- a/packages/decisions/version/Assignment.h
+++ b/packages/decisions/version/Assignment.h
@@ -25,7 +25,7 @@
 
   std::optional<BoxName> ownerOf(const UpstreamName &Upstream) const;
   /// Place of \p Upstream in the order of names; -1 when it has none.
-  int placeOf(const UpstreamName &Upstream) const;
+  int indexOf(const UpstreamName &Upstream) const;
   std::optional<UpstreamName> upstreamAt(int Place) const;
   std::optional<BoxName> ownerOfSlice(int Slice) const;
   bool operator==(const Assignment &) const = default;
--- a/packages/decisions/version/Organisation.cpp
+++ b/packages/decisions/version/Organisation.cpp
@@ -5,7 +5,7 @@
 double Quota::costOf(bool TokensTold, double Tokens) const {
   if (m_Unit == QuotaUnit::Requests)
     return 1;
-  return TokensTold ? Tokens : m_UncountedTokens;
+  return TokensTold ? Tokens : m_DefaultTokens;
 }
 
 } // namespace havenstair
--- a/packages/decisions/version/Organisation.h
+++ b/packages/decisions/version/Organisation.h
@@ -27,14 +27,14 @@
 /// How much an organisation may ask of the whole fleet: a token bucket.
 struct Quota {
   QuotaUnit m_Unit = QuotaUnit::Requests;
-  double m_RatePerS = 0; ///< 0 for no limit.
-  double m_Burst = 0;    ///< Units beyond the rate that may come at once.
+  double m_RatePerSecond = 0; ///< 0 for no limit.
+  double m_Burst = 0;         ///< Units beyond the rate that may come at once.
   /// Tokens that a request counts which does not tell its own.
-  double m_UncountedTokens = 0;
+  double m_DefaultTokens = 0;
 
   bool operator==(const Quota &) const = default;
 
-  bool limited() const { return m_RatePerS > 0; }
+  bool limited() const { return m_RatePerSecond > 0; }
   /// Units of a request that tells of \p Tokens, or of none with
   /// \p TokensTold false.
   double costOf(bool TokensTold, double Tokens) const;
--- a/packages/decisions/version/ServingConfig.cpp
+++ b/packages/decisions/version/ServingConfig.cpp
@@ -60,7 +60,7 @@
   return Shortest;
 }
 
-const Organisation *ServingConfig::holderOf(const KeyHash &Key) const {
+const Organisation *ServingConfig::organisationFor(const KeyHash &Key) const {
   const auto Found = m_KeyIndex.find(Key);
   return Found == m_KeyIndex.end() ? nullptr : &m_Organisations[Found->second];
 }
--- a/packages/decisions/version/ServingConfig.h
+++ b/packages/decisions/version/ServingConfig.h
@@ -79,7 +79,7 @@
   double m_KvTokens = 0;
   double m_WeightsMb = 0; ///< Room for weights and adapters together.
   int m_AdapterCapacity = 0;
-  double m_LoadsPerS = 0; ///< From the store of weights, over all engines.
+  double m_LoadsPerSecond = 0; ///< From the store of weights, over all engines.
   std::vector<ModelSpec> m_Models;
 
   bool operator==(const EngineSpec &) const = default;
@@ -135,7 +135,7 @@
   std::optional<Duration> shortestStoreLoad() const;
   /// The organisation with \p Key; null without one, and before
   /// indexOrganisations().
-  const Organisation *holderOf(const KeyHash &Key) const;
+  const Organisation *organisationFor(const KeyHash &Key) const;
   /// To be called when the organisations are complete. A key that two of them
   /// have belongs to the first.
   void indexOrganisations();
--- a/packages/decisions/version/Table.cpp
+++ b/packages/decisions/version/Table.cpp
@@ -76,8 +76,8 @@
   return std::nullopt;
 }
 
-/// Memory of a model together with those of its adapters that are callable:
-/// they must lie on the same engine.
+/// Memory of a model together with those of its adapters that are
+/// callableArtifacts: they must lie on the same engine.
 std::map<ArtifactName, MemoryMiB>
 memoryByModel(const std::set<ArtifactName> &Callable, const Catalogue &Models) {
   std::map<ArtifactName, MemoryMiB> Sizes;
@@ -95,7 +95,8 @@
   return Sizes;
 }
 
-/// First-fit decreasing: one copy of each callable model must find room.
+/// First-fit decreasing: one copy of each callableArtifacts model must find
+/// room.
 std::optional<TableProblem> checkFits(const std::set<ArtifactName> &Callable,
                                       const Catalogue &Models,
                                       const Capacity &Engines) {
@@ -176,7 +177,7 @@
   return Row == nullptr ? 1 : Row->m_Weight;
 }
 
-std::set<ArtifactName> Table::callable() const {
+std::set<ArtifactName> Table::callableArtifacts() const {
   std::set<ArtifactName> Result;
   for (const auto &[Name, Row] : m_Rows)
     if (!Row.m_Removed)
@@ -218,7 +219,7 @@
   for (const GroupRow &Row : Current.rows())
     if (auto Problem = checkArtifacts(Row, Models))
       return Problem;
-  return checkFits(Current.callable(), Models, Engines);
+  return checkFits(Current.callableArtifacts(), Models, Engines);
 }
 
 } // namespace havenstair
--- a/packages/decisions/version/Table.h
+++ b/packages/decisions/version/Table.h
@@ -111,7 +111,7 @@
   void markComplete(TableVersion Version);
   double weightOf(const GroupName &Group) const;
   /// Artifacts that at least one group may call.
-  std::set<ArtifactName> callable() const;
+  std::set<ArtifactName> callableArtifacts() const;
 
 private:
   std::map<GroupName, GroupRow> m_Rows;
--- a/packages/gateway/process/GatewayPolicy.h
+++ b/packages/gateway/process/GatewayPolicy.h
@@ -6,7 +6,7 @@
 #include "decisions/process/AdapterPlanner.h"
 #include "decisions/process/DemandRates.h"
 #include "decisions/process/ReplicaPlanner.h"
-#include "decisions/request/PromptPace.h"
+#include "decisions/request/PromptPacing.h"
 #include "decisions/request/ReplicaAdmission.h"
 #include "decisions/request/ReplicaChoice.h"
 
@@ -16,7 +16,7 @@
 struct GatewayPolicy {
   ReplicaWeights m_Choice;
   AdmissionOptions m_Admission;
-  PaceOptions m_Pace;
+  PacingOptions m_Pace;
   PlannerOptions m_Planner;
   AdapterOptions m_Adapters;
   DemandRates::Options m_Rates;
--- a/packages/gateway/process/OrderGiver.cpp
+++ b/packages/gateway/process/OrderGiver.cpp
@@ -633,7 +633,7 @@
 
 void OrderGiver::planModels(const std::string &Service, const EngineSpec &Spec,
                             TimePoint Now) {
-  m_Ceiling.configure({.m_LoadsPerS = Spec.m_LoadsPerS,
+  m_Ceiling.configure({.m_LoadsPerSecond = Spec.m_LoadsPerSecond,
                        .m_Window = m_Opts.m_Bounds.m_CeilingWindow,
                        .m_Overage = m_Opts.m_Bounds.m_CeilingOverage});
   PlannerInput Input = plannerInput(Service, Now);
--- a/packages/gateway/process/QuotaExchange.cpp
+++ b/packages/gateway/process/QuotaExchange.cpp
@@ -119,7 +119,7 @@
                                   {"granted", std::lround(Of.m_Granted)},
                                   {"refused", std::lround(Of.m_Refused)},
                                   {"level", std::lround(Of.m_Level)},
-                                  {"rate_per_s", Of.m_RatePerS},
+                                  {"rate_per_s", Of.m_RatePerSecond},
                                   {"share", m_Book.share()},
                                   {"counts", m_Counts}});
 }
--- a/packages/gateway/process/ServingState.h
+++ b/packages/gateway/process/ServingState.h
@@ -15,7 +15,7 @@
 #include "decisions/process/ServingView.h"
 #include "decisions/process/SharedRetryBudget.h"
 #include "decisions/process/WarmUpView.h"
-#include "decisions/request/CallerClock.h"
+#include "decisions/request/RetryDetector.h"
 #include "decisions/version/ServingConfig.h"
 #include "wire/common/EventLoop.h"
 #include <memory>
@@ -42,7 +42,7 @@
   FailureBook m_Failures;
   CrashBook m_Crashes;
   SharedRetryBudget m_Budget{{}, EventLoop::now()};
-  CallerClock m_Callers;
+  RetryDetector m_Callers;
   ModelDemands m_Demand; ///< Since it was last taken.
   int m_Boxes = 1;       ///< Most boxes known at one time.
   bool m_Stopping = false;
--- a/packages/gateway/request/Forwarder.h
+++ b/packages/gateway/request/Forwarder.h
@@ -4,7 +4,7 @@
 #define HAVENSTAIR_GATEWAY_REQUEST_FORWARDER_H
 
 #include "decisions/request/ForwardingPolicy.h"
-#include "decisions/request/PromptPace.h"
+#include "decisions/request/PromptPacing.h"
 #include "decisions/request/ReplicaAdmission.h"
 #include "decisions/request/ReplicaChoice.h"
 #include "gateway/common/ConfigVouch.h"
@@ -49,7 +49,7 @@
     ReplicaWeights m_Weights;
     AdmissionOptions m_Admission;
     Duration m_ConnectTimeout = 300ms;
-    PaceOptions m_Pace;
+    PacingOptions m_Pace;
     EarlyRequests::Options m_Early;
     std::size_t m_MaxAnswer = 16 << 20; ///< Bytes of a buffered answer.
   };
--- a/packages/gateway/request/OwnAnswer.cpp
+++ b/packages/gateway/request/OwnAnswer.cpp
@@ -19,13 +19,13 @@
                    HttpHeaders Headers) {
   const ErrorAnswer &Answer = answerFor(Reason.m_Kind);
   Headers.push_back({"Content-Type", "application/json"});
-  if (Answer.m_ComeBack && Reason.m_RetryAfter > 0us)
+  if (Answer.m_HasRetryAfter && Reason.m_RetryAfter > 0us)
     Headers.push_back({"Retry-After", secondsText(Reason.m_RetryAfter)});
   const Json Body{
       {"error",
        {{"code", Answer.m_Code},
         {"message", Answer.m_Message},
-        {"run", Answer.m_Run == RunState::NotRun ? "not_run" : "unknown"},
+        {"run", Answer.m_RunState == RunState::NotRun ? "not_run" : "unknown"},
         {"detail", Reason.m_Detail}}}};
   Exchange->reply(Answer.m_HttpStatus, Headers, dumpJson(Body));
 }
--- a/packages/gateway/request/ProxiedRequest.cpp
+++ b/packages/gateway/request/ProxiedRequest.cpp
@@ -76,7 +76,7 @@
   ServingState &State = m_Owner.m_State;
   State.m_Budget.requested(m_Service, m_Arrived);
   if (m_Request.m_Deadline)
-    m_SinceFirstTry = State.m_Callers.sinceFirstTry(
+    m_SinceFirstTry = State.m_Callers.timeSinceFirstAttempt(
         m_Route.m_Name, *m_Request.m_Deadline, m_Arrived);
   // A second try is the same demand once more.
   if (!m_Request.m_Model.empty() && m_SinceFirstTry == 0us) {
@@ -103,7 +103,7 @@
   step();
 }
 
-RequestReach ProxiedRequest::reach() const {
+UpstreamEligibility ProxiedRequest::reach() const {
   const ServingState &State = m_Owner.m_State;
   return {State.m_Upstreams, State.m_DataCentres, m_Standing.regions(),
           m_Service, m_Request};
@@ -128,12 +128,12 @@
   };
   auto Candidates = reach().candidates(Excluded, Now);
   m_Crashes.keepApart(Candidates, m_MayHaveRun, Now);
-  const ReplicaKnowledge Known{.m_Loads = State.m_Loads,
-                               .m_Prefixes = State.m_Prefixes,
-                               .m_Latency = State.m_Latency,
-                               .m_Failures = State.m_Failures,
-                               .m_DataCentres = State.m_DataCentres,
-                               .m_Bounds = &State.m_SendBounds};
+  const ReplicaStatistics Known{.m_Loads = State.m_Loads,
+                                .m_Prefixes = State.m_Prefixes,
+                                .m_Latency = State.m_Latency,
+                                .m_Failures = State.m_Failures,
+                                .m_DataCentres = State.m_DataCentres,
+                                .m_Bounds = &State.m_SendBounds};
   const auto Chosen =
       chooseReplica(Candidates, m_Request, State.m_Zone, Known,
                     m_Owner.m_Opts.m_Weights, m_Owner.m_Hooks.m_Random(), Now);
@@ -221,14 +221,14 @@
 /// while prompts are read, so these come one after the other.
 std::optional<Duration> ProxiedRequest::paceOf(const ChosenReplica &Chosen,
                                                TimePoint Now) const {
-  const PaceFacts Facts{.m_GapTarget = m_Route.m_GapTarget,
-                        .m_Target = m_Route.m_Target,
-                        .m_Waited = waited(Now),
-                        .m_PendingMs = Chosen.m_PendingMs};
+  const PacingFacts Facts{.m_GapTarget = m_Route.m_GapTarget,
+                          .m_Target = m_Route.m_Target,
+                          .m_Waited = waited(Now),
+                          .m_PendingMs = Chosen.m_PendingMs};
   if (m_Sends > 0 || !streaming() || m_Request.m_Model.empty() ||
       m_Permit.holds(Now))
     return std::nullopt;
-  return paceFor(Facts, m_Owner.m_Opts.m_Pace);
+  return pacingDelay(Facts, m_Owner.m_Opts.m_Pace);
 }
 
 AdmissionFacts
@@ -242,7 +242,7 @@
                        .m_Start = std::nullopt,
                        .m_ServesIn = std::nullopt};
   if (Chosen)
-    Facts.m_Start = {.m_FirstMs = Chosen->m_ExpectedMs,
+    Facts.m_Start = {.m_FirstTokenMs = Chosen->m_ExpectedMs,
                      .m_WorkMs = Chosen->m_WorkMs};
   const auto ServesAt = reach().servesAt(Now);
   if (Facts.m_NamesModel && ServesAt)
@@ -278,13 +278,13 @@
     if (m_Owner.m_State.m_Stopping)
       refuse(ErrorKind::Stopping, Forwarder::StoppingAway, {});
     else
-      wait(Decision.m_For);
+      wait(Decision.m_Delay);
     return false;
   case AdmissionStep::Refuse:
     refuse(Chosen               ? ErrorKind::Overloaded
            : Facts.m_NamesModel ? ErrorKind::NoResidentCopy
                                 : ErrorKind::NoUpstream,
-           Decision.m_For, std::string(Decision.m_Reason));
+           Decision.m_Delay, std::string(Decision.m_Reason));
     return false;
   }
   return false;
@@ -325,9 +325,9 @@
   if (m_BytesPassed)
     cut();
   else if (m_MayHaveRun || m_Send)
-    fail(ErrorKind::ServersEnded);
+    fail(ErrorKind::UpstreamsCrashed);
   else
-    refuse(ErrorKind::RequestBarred, 0us, {});
+    refuse(ErrorKind::RequestQuarantined, 0us, {});
   return true;
 }
 
@@ -344,9 +344,9 @@
 Duration ProxiedRequest::permitPatience(const ChosenReplica &Chosen,
                                         TimePoint Now) const {
   const Duration Spare = timeToSpare(Now);
-  if (!Chosen.m_Limited || !Chosen.m_SpareMs)
+  if (!Chosen.m_Limited || !Chosen.m_PermitSavingMs)
     return Spare;
-  return std::min(Spare, fromMillis(*Chosen.m_SpareMs));
+  return std::min(Spare, fromMillis(*Chosen.m_PermitSavingMs));
 }
 
 /// Whether the request may be sent now. Otherwise the answer will tell, or the
@@ -424,7 +424,7 @@
                 .m_WorkMs = Chosen.m_WorkMs,
                 .m_ExpectedMs = Chosen.m_ExpectedMs,
                 .m_Tokens = m_Request.m_PromptTokens +
-                            OutputPart * m_Request.m_MostOutput,
+                            OutputPart * m_Request.m_MaxOutputTokens,
                 .m_Resumed = m_LastEvent.has_value()};
   const ConfigVouch Config = m_Owner.m_Hooks.m_ConfigVouch(Now);
   m_Owner.m_Log.write("sent",
@@ -604,7 +604,7 @@
                               .m_MaxSends = m_Route.m_MaxAttempts,
                               .m_TimeLeft = Now < m_Deadline};
   const ForwardingStep Wanted = nextStep(Outcome, Facts, true);
-  if (!needsBudget(Wanted, Outcome))
+  if (!needsRetryBudget(Wanted, Outcome))
     return Wanted;
   ServingState &State = m_Owner.m_State;
   const bool Left = State.m_Budget.trySpend(m_Service, State.m_Boxes, Now);
@@ -669,7 +669,7 @@
   }
   // Without its word that it did not run the request, its status would be
   // taken for a promise.
-  if (promisesNotRun(m_Send->m_Status))
+  if (impliesNotRun(m_Send->m_Status))
     return fail(ErrorKind::UpstreamFailed);
   const bool Good = m_Send->m_Status < 500;
   m_Exchange->reply(m_Send->m_Status,
@@ -725,7 +725,7 @@
   m_Silence.stop();
   const Duration First = m_FirstByte ? *m_FirstByte - m_Arrived : 0us;
   if (Outcome != "ok" && Outcome != answerFor(ErrorKind::CallerLeft).m_Code)
-    m_Owner.m_State.m_Callers.turnedAway(m_Route.m_Name, Now);
+    m_Owner.m_State.m_Callers.recordRefusal(m_Route.m_Name, Now);
   if (Outcome == "ok" && streaming() && m_FirstByte)
     m_Owner.m_State.m_Latency.observeHold(m_Request.m_Model,
                                           inMillis(Now - *m_FirstByte));
--- a/packages/gateway/request/ProxiedRequest.h
+++ b/packages/gateway/request/ProxiedRequest.h
@@ -5,8 +5,8 @@
 
 #include "decisions/request/EventSplitter.h"
 #include "decisions/request/ReplicaAdmission.h"
-#include "decisions/request/RequestReach.h"
-#include "decisions/request/RequestStanding.h"
+#include "decisions/request/RequestAuthorization.h"
+#include "decisions/request/UpstreamEligibility.h"
 #include "gateway/request/CrashGuard.h"
 #include "gateway/request/Forwarder.h"
 #include "gateway/request/RequestPermit.h"
@@ -74,7 +74,7 @@
   void wait(Duration For);
   bool stillAllowed();
   bool refusedBarred(TimePoint Now);
-  RequestReach reach() const;
+  UpstreamEligibility reach() const;
   Duration timeToSpare(TimePoint Now) const;
   Duration permitPatience(const ChosenReplica &Chosen, TimePoint Now) const;
   bool withinQuota(TimePoint Now);
@@ -123,7 +123,7 @@
   std::string m_Organisation; ///< Empty for nobody's.
   CrashGuard m_Crashes;
   int m_Priority; ///< To an engine.
-  RequestStanding m_Standing;
+  RequestAuthorization m_Standing;
   RequestQuota m_Quota;
   bool m_AskingQuota = false;
   RequestPermit m_Permit;
--- a/packages/gateway/request/RequestQuota.cpp
+++ b/packages/gateway/request/RequestQuota.cpp
@@ -7,8 +7,8 @@
 double quotaUnits(const RequestDescriptor &Request, const Organisation *Of) {
   if (Of == nullptr || !Of->m_Quota.limited())
     return 0;
-  return Of->m_Quota.costOf(Request.m_TokensTold,
-                            Request.m_PromptTokens + Request.m_MostOutput);
+  return Of->m_Quota.costOf(Request.m_HasTokenCounts,
+                            Request.m_PromptTokens + Request.m_MaxOutputTokens);
 }
 
 RequestQuota::RequestQuota(std::weak_ptr<QuotaDesk> Desk,
--- a/packages/havenstaird/process/DigestExchange.cpp
+++ b/packages/havenstaird/process/DigestExchange.cpp
@@ -102,7 +102,7 @@
   UpstreamLoad Load = Digest.m_Load;
   Load.m_Slots = 1;
   Frame.m_Loads.push_back(
-      {.m_Place = m_Opts.m_Assignment().placeOf(Digest.m_Upstream),
+      {.m_Place = m_Opts.m_Assignment().indexOf(Digest.m_Upstream),
        .m_Load = Load});
 }
 
--- a/packages/havenstaird/process/Planner.cpp
+++ b/packages/havenstaird/process/Planner.cpp
@@ -60,7 +60,7 @@
   PlacementInput Input;
   Input.m_Engines = engines();
   Input.m_Demand = m_Smoothed;
-  Input.m_Callable = Current.callable();
+  Input.m_Callable = Current.callableArtifacts();
   Input.m_Catalogue = &Current.catalogue();
   for (const Move &Wanted : m_Opts.m_Policy->plan(Input, EventLoop::now()))
     m_Opts.m_Order(Wanted);
--- a/packages/havenstaird/process/PolicySettings.cpp
+++ b/packages/havenstaird/process/PolicySettings.cpp
@@ -52,28 +52,40 @@
     {"--running-ms", "cost of each running request", 0, 1000,
      [](GatewayPolicy &P) -> double & { return P.m_Choice.m_RunningMs; }},
     {"--preferred-cached", "part believed cached at the preferred engine", 0, 1,
-     [](GatewayPolicy &P) -> double & { return P.m_Choice.m_PreferredCached; }},
+     [](GatewayPolicy &P) -> double & {
+       return P.m_Choice.m_PreferredCachedFraction;
+     }},
     {"--disturbance", "cost of reading prompts beside running streams", 0, 100,
-     [](GatewayPolicy &P) -> double & { return P.m_Choice.m_Disturbance; }},
+     [](GatewayPolicy &P) -> double & {
+       return P.m_Choice.m_InterferenceFactor;
+     }},
     {"--wait-part", "part of the target that a wait may take", 0.1, 100,
-     [](GatewayPolicy &P) -> double & { return P.m_Admission.m_WaitPart; }},
+     [](GatewayPolicy &P) -> double & {
+       return P.m_Admission.m_MaxWaitFraction;
+     }},
     {"--longest-away-part", "part of the time left to come back after", 0, 1,
      [](GatewayPolicy &P) -> double & {
-       return P.m_Admission.m_LongestAwayPart;
+       return P.m_Admission.m_MaxRetryAfterFraction;
      }},
     {"--load-known-within-ms", "time in which a load that begins is known", 0,
      60000,
      [](GatewayPolicy &P) -> double & {
-       return P.m_Admission.m_LoadKnownWithinMs;
+       return P.m_Admission.m_LoadVisibleWithinMs;
      }},
     {"--pace-gap-part", "part of the longest pause that prompt work may fill",
-     0, 1000, [](GatewayPolicy &P) -> double & { return P.m_Pace.m_GapPart; }},
+     0, 1000,
+     [](GatewayPolicy &P) -> double & { return P.m_Pace.m_MaxGapFraction; }},
     {"--pace-wait-part", "part of the target to wait for that", 0, 1,
-     [](GatewayPolicy &P) -> double & { return P.m_Pace.m_WaitPart; }},
+     [](GatewayPolicy &P) -> double & { return P.m_Pace.m_MaxWaitFraction; }},
     {"--own-part", "part of the target that a request's own work may take", 0,
-     1, [](GatewayPolicy &P) -> double & { return P.m_Admission.m_OwnPart; }},
+     1,
+     [](GatewayPolicy &P) -> double & {
+       return P.m_Admission.m_MaxOwnWorkFraction;
+     }},
     {"--expected-spread", "factor by which first tokens come later", 0.1, 100,
-     [](GatewayPolicy &P) -> double & { return P.m_Admission.m_Spread; }},
+     [](GatewayPolicy &P) -> double & {
+       return P.m_Admission.m_EstimateErrorFactor;
+     }},
     {"--spare-part", "part of its usual demand that a spare replica is worth",
      0, 10,
      [](GatewayPolicy &P) -> double & { return P.m_Planner.m_SparePart; }},
--- a/packages/havenstaird/request/ErrorReply.cpp
+++ b/packages/havenstaird/request/ErrorReply.cpp
@@ -25,13 +25,14 @@
   std::string Message(Answer.m_Message);
   if (!Reason.m_Detail.empty())
     Message += " " + Reason.m_Detail;
-  Json Error{{"message", Message},
-             {"type", errorType(Answer.m_HttpStatus)},
-             {"code", Answer.m_Code},
-             {"param", nullptr},
-             {"run", Answer.m_Run == RunState::NotRun ? "not_run" : "unknown"},
-             {"request_id", Id.str()}};
-  if (Answer.m_ComeBack)
+  Json Error{
+      {"message", Message},
+      {"type", errorType(Answer.m_HttpStatus)},
+      {"code", Answer.m_Code},
+      {"param", nullptr},
+      {"run", Answer.m_RunState == RunState::NotRun ? "not_run" : "unknown"},
+      {"request_id", Id.str()}};
+  if (Answer.m_HasRetryAfter)
     Error["retry_after_ms"] = Reason.m_RetryAfter.count() / 1000;
   return Json{{"error", std::move(Error)}};
 }
@@ -42,7 +43,7 @@
   HttpHeaders Headers{{"Content-Type", "application/json"}};
   if (!Id.empty())
     Headers.push_back({"Havenstair-Request-Id", Id.str()});
-  if (Answer.m_ComeBack)
+  if (Answer.m_HasRetryAfter)
     Headers.push_back({"Retry-After", retryAfterSeconds(Reason.m_RetryAfter)});
   if (Answer.m_HttpStatus == 401)
     Headers.push_back({"WWW-Authenticate", "Bearer"});
--- a/packages/havenstaird/request/KeyedRunner.cpp
+++ b/packages/havenstaird/request/KeyedRunner.cpp
@@ -64,7 +64,7 @@
   }
   void failed(const Failure &Reason) override {
     --m_Owner.m_Running;
-    if (answerFor(Reason.m_Kind).m_Run == RunState::NotRun)
+    if (answerFor(Reason.m_Kind).m_RunState == RunState::NotRun)
       m_Owner.m_Registry.notRun(m_Request);
     else
       m_Owner.m_Registry.unknown(m_Request, EventLoop::now());
--- a/tests/decisions/process/ColdFleet.h
+++ b/tests/decisions/process/ColdFleet.h
@@ -185,7 +185,7 @@
     Book.setBoxes(1, Relays, m_Now);
     Organisation Server;
     Server.m_Name = "e";
-    Server.m_Quota.m_RatePerS = m_Bound.m_PerS;
+    Server.m_Quota.m_RatePerSecond = m_Bound.m_PerS;
     Server.m_Quota.m_Burst = 1;
     Book.configure({Server}, m_Now);
     return Book;
--- a/tests/decisions/process/LoadCeilingTest.cpp
+++ b/tests/decisions/process/LoadCeilingTest.cpp
@@ -35,7 +35,7 @@
     const double PerSecond = *drawn(2, 40) / 10.0;
     const auto Slack = static_cast<std::size_t>(*drawn(0, 4));
     Ceiling.configure(
-        {.m_LoadsPerS = PerSecond, .m_Window = 5s, .m_Slack = Slack});
+        {.m_LoadsPerSecond = PerSecond, .m_Window = 5s, .m_Slack = Slack});
     std::map<InstanceId, OpenLoad> Open;
     std::vector<TimePoint> Begun;
     TimePoint Now = at(0s);
@@ -66,7 +66,7 @@
 TEST_CASE("An order without an answer counts until it is settled",
           "[ceiling]") {
   LoadCeiling Ceiling;
-  Ceiling.configure({.m_LoadsPerS = 0.4, .m_Window = 5s, .m_Slack = 0});
+  Ceiling.configure({.m_LoadsPerSecond = 0.4, .m_Window = 5s, .m_Slack = 0});
   REQUIRE(Ceiling.left(at(0s)) == 2);
   Ceiling.ordered("i-1");
   REQUIRE(Ceiling.left(at(60s)) == 1);
@@ -78,7 +78,7 @@
 TEST_CASE("What is settled twice, or was never ordered, counts once at most",
           "[ceiling]") {
   LoadCeiling Ceiling;
-  Ceiling.configure({.m_LoadsPerS = 0.4, .m_Window = 5s, .m_Slack = 0});
+  Ceiling.configure({.m_LoadsPerSecond = 0.4, .m_Window = 5s, .m_Slack = 0});
   Ceiling.settled("i-2", at(0s));
   REQUIRE(Ceiling.left(at(0s)) == 2);
   Ceiling.ordered("i-1");
@@ -91,12 +91,12 @@
 TEST_CASE("A new order giver begins with a used-up window", "[ceiling]") {
   LoadCeiling Ceiling;
   SECTION("the bound is known before") {
-    Ceiling.configure({.m_LoadsPerS = 2, .m_Window = 5s, .m_Slack = 0});
+    Ceiling.configure({.m_LoadsPerSecond = 2, .m_Window = 5s, .m_Slack = 0});
     Ceiling.takeOver(at(10s));
   }
   SECTION("the bound becomes known only then") {
     Ceiling.takeOver(at(10s));
-    Ceiling.configure({.m_LoadsPerS = 2, .m_Window = 5s, .m_Slack = 0});
+    Ceiling.configure({.m_LoadsPerSecond = 2, .m_Window = 5s, .m_Slack = 0});
   }
   REQUIRE(Ceiling.left(at(14s)) == 0);
   REQUIRE(Ceiling.left(at(15s)) == 0);
@@ -105,14 +105,15 @@
 
 TEST_CASE("The slack of the bound is used but for one load", "[ceiling]") {
   LoadCeiling Ceiling;
-  Ceiling.configure({.m_LoadsPerS = 1.6, .m_Window = 5s, .m_Overage = 1.1});
+  Ceiling.configure(
+      {.m_LoadsPerSecond = 1.6, .m_Window = 5s, .m_Overage = 1.1});
   REQUIRE(Ceiling.left(at(0s)) == 10);
 }
 
 TEST_CASE("Loads of the former order giver that are known count by number",
           "[ceiling]") {
   LoadCeiling Ceiling;
-  Ceiling.configure({.m_LoadsPerS = 2, .m_Window = 5s, .m_Slack = 0});
+  Ceiling.configure({.m_LoadsPerSecond = 2, .m_Window = 5s, .m_Slack = 0});
   Ceiling.takeOver(at(10s));
   REQUIRE(Ceiling.left(at(11s)) == 0);
   Ceiling.formerLoads(3, at(11s));
--- a/tests/decisions/process/QuotaBookTest.cpp
+++ b/tests/decisions/process/QuotaBookTest.cpp
@@ -19,9 +19,9 @@
           .m_Keys = {},
           .m_Priority = 0,
           .m_Quota = {.m_Unit = QuotaUnit::Tokens,
-                      .m_RatePerS = Rate,
+                      .m_RatePerSecond = Rate,
                       .m_Burst = Burst,
-                      .m_UncountedTokens = 200}};
+                      .m_DefaultTokens = 200}};
 }
 
 /// A book that counts for all boxes alone and has settled with full buckets.
@@ -292,7 +292,8 @@
   double Given = 0;
   while (Book.trySpend("o", {.m_Units = 1000}, Start).granted())
     Given += 1000;
-  const double Slack = Tolerance.slack({.m_RatePerS = 10000, .m_Burst = 10000});
+  const double Slack =
+      Tolerance.slack({.m_RatePerSecond = 10000, .m_Burst = 10000});
   REQUIRE(Given >= 10000);
   REQUIRE(Given <= 10000 + 0.5 * Slack + 1000);
 
@@ -369,7 +370,8 @@
   QuotaBook Book({.m_Tolerance = Tolerance});
   Book.setBoxes(1, 2, Start);
   Book.configure({limited("o", 10000, 10000)}, Start);
-  const double Slack = Tolerance.slack({.m_RatePerS = 10000, .m_Burst = 10000});
+  const double Slack =
+      Tolerance.slack({.m_RatePerSecond = 10000, .m_Burst = 10000});
   REQUIRE(Book.level("o", Start) <= 0.2 * Slack / 2);
   Book.told(boxName(1), 1, true,
             {{"o", {.m_Used = 9e6, .m_Recent = 10, .m_Level = 17000}}}, Start);
@@ -394,7 +396,7 @@
     const QuotaAccount &Of = Accounts.at("o");
     CHECK(Of.m_Granted == Granted);
     CHECK(Of.m_Refused == 1000);
-    CHECK(Of.m_RatePerS == 1000);
+    CHECK(Of.m_RatePerSecond == 1000);
     CHECK(Book.takeAccounts(Now).empty());
   }
 }
--- a/tests/decisions/request/AllowedRegionsTest.cpp
+++ b/tests/decisions/request/AllowedRegionsTest.cpp
@@ -23,7 +23,7 @@
     "Without named regions all are allowed, also data centres without one",
     "[regions]") {
   const AllowedRegions All = both({}, {});
-  REQUIRE_FALSE(All.bound());
+  REQUIRE_FALSE(All.restricted());
   REQUIRE(All.allows(North));
   REQUIRE(All.allows(RegionName()));
   REQUIRE(All == AllowedRegions(Route(), nullptr));
@@ -34,7 +34,7 @@
       GENERATE(both({North}, {}), both({}, {North}), both({North}, {North}));
   REQUIRE(One.allows(North));
   REQUIRE_FALSE(One.allows(South));
-  REQUIRE_FALSE(One.none());
+  REQUIRE_FALSE(One.allowsNone());
 }
 
 TEST_CASE(
@@ -47,7 +47,7 @@
 TEST_CASE("Route and organisation without a common region allow none",
           "[regions]") {
   const AllowedRegions None = both({North, West}, {South});
-  REQUIRE(None.none());
+  REQUIRE(None.allowsNone());
   REQUIRE(None.text() == "none in common");
   REQUIRE(both({North, South}, {South, West}).text() == "south");
 }
--- a/tests/decisions/request/CallerIdentityTest.cpp
+++ b/tests/decisions/request/CallerIdentityTest.cpp
@@ -60,10 +60,11 @@
 
 TEST_CASE("A quota counts requests, or tokens that are told or assumed",
           "[quota]") {
-  const Quota Requests{.m_Unit = QuotaUnit::Requests, .m_RatePerS = 5};
+  const Quota Requests{.m_Unit = QuotaUnit::Requests, .m_RatePerSecond = 5};
   REQUIRE(Requests.costOf(true, 900) == 1);
-  const Quota Tokens{
-      .m_Unit = QuotaUnit::Tokens, .m_RatePerS = 5, .m_UncountedTokens = 200};
+  const Quota Tokens{.m_Unit = QuotaUnit::Tokens,
+                     .m_RatePerSecond = 5,
+                     .m_DefaultTokens = 200};
   REQUIRE(Tokens.costOf(true, 900) == 900);
   REQUIRE(Tokens.costOf(false, 0) == 200);
   REQUIRE_FALSE(Quota{}.limited());
--- a/tests/decisions/request/ErrorKindTest.cpp
+++ b/tests/decisions/request/ErrorKindTest.cpp
@@ -20,8 +20,8 @@
 TEST_CASE("Only what was not run may be sent again", "[errors]") {
   for (int Index = 0; Index < ErrorKindCount; ++Index) {
     const ErrorAnswer &Answer = answerFor(static_cast<ErrorKind>(Index));
-    if (Answer.m_ComeBack)
-      REQUIRE(Answer.m_Run == RunState::NotRun);
+    if (Answer.m_HasRetryAfter)
+      REQUIRE(Answer.m_RunState == RunState::NotRun);
   }
 }
 
--- a/tests/decisions/request/ForwardingPolicyTest.cpp
+++ b/tests/decisions/request/ForwardingPolicyTest.cpp
@@ -59,7 +59,7 @@
       return;
     RC_ASSERT(Facts.m_Sends < Facts.m_MaxSends);
     RC_ASSERT(Facts.m_TimeLeft);
-    RC_ASSERT(Budget || !needsBudget(Step, Outcome));
+    RC_ASSERT(Budget || !needsRetryBudget(Step, Outcome));
   });
 }
 
@@ -82,6 +82,6 @@
   ForwardingFacts Facts{.m_Sends = 1, .m_MaxSends = 1};
   REQUIRE(nextStep(SendOutcome::ServerError, Facts, true) ==
           ForwardingStep::PassOn);
-  REQUIRE(promisesNotRun(503));
-  REQUIRE_FALSE(promisesNotRun(500));
+  REQUIRE(impliesNotRun(503));
+  REQUIRE_FALSE(impliesNotRun(500));
 }
--- a/tests/decisions/request/ReplicaAdmissionTest.cpp
+++ b/tests/decisions/request/ReplicaAdmissionTest.cpp
@@ -9,7 +9,8 @@
 AdmissionFacts facts(double FirstMs, double WorkMs) {
   return {.m_Target = 800ms,
           .m_TimeLeft = 5s,
-          .m_Start = ExpectedStart{.m_FirstMs = FirstMs, .m_WorkMs = WorkMs}};
+          .m_Start =
+              ExpectedStart{.m_FirstTokenMs = FirstMs, .m_WorkMs = WorkMs}};
 }
 
 AdmissionFacts withoutReplica() {
@@ -38,7 +39,7 @@
           "[admission]") {
   const AdmissionDecision Decision = judged(facts(1500, 100));
   REQUIRE(Decision.m_Step == AdmissionStep::Refuse);
-  REQUIRE(Decision.m_For > 0us);
+  REQUIRE(Decision.m_Delay > 0us);
 }
 
 TEST_CASE("A refused caller is told when the next replica serves",
@@ -46,17 +47,17 @@
   AdmissionFacts Facts = facts(1500, 100);
   SECTION("a load is under way") {
     Facts.m_ServesIn = 600ms;
-    REQUIRE(judged(Facts).m_For >= 600ms);
-    REQUIRE(judged(Facts).m_For <= 900ms);
+    REQUIRE(judged(Facts).m_Delay >= 600ms);
+    REQUIRE(judged(Facts).m_Delay <= 900ms);
   }
   SECTION("nothing is known, and callers wait for a third of their time") {
     Facts.m_TimeLeft = 12s;
-    REQUIRE(judged(Facts).m_For >= 3s);
-    REQUIRE(judged(Facts).m_For <= 4s);
+    REQUIRE(judged(Facts).m_Delay >= 3s);
+    REQUIRE(judged(Facts).m_Delay <= 4s);
   }
   SECTION("those who come back do not come at once") {
     Facts.m_ServesIn = 1s;
-    REQUIRE(admit(Facts, {}, 0).m_For < admit(Facts, {}, 1).m_For);
+    REQUIRE(admit(Facts, {}, 0).m_Delay < admit(Facts, {}, 1).m_Delay);
   }
 }
 
@@ -88,9 +89,9 @@
   Second.m_TimeLeft = 3500ms;
   REQUIRE(refused(Second));
   REQUIRE(judged(Second).m_Reason == "overloaded");
-  Second.m_Start->m_FirstMs = 700;
+  Second.m_Start->m_FirstTokenMs = 700;
   REQUIRE(sent(Second));
-  Second.m_Start->m_FirstMs = 4000;
+  Second.m_Start->m_FirstTokenMs = 4000;
   REQUIRE(refused(Second));
 }
 
@@ -114,7 +115,7 @@
   }
   SECTION("whether one begins is not known yet") {
     REQUIRE(judged(Facts).m_Step == AdmissionStep::Wait);
-    REQUIRE(judged(Facts).m_For < 1s);
+    REQUIRE(judged(Facts).m_Delay < 1s);
   }
   SECTION("none has begun") {
     Facts.m_Waited = 1s;
@@ -137,8 +138,8 @@
       Facts.m_ServesIn = std::chrono::milliseconds(*drawn(0, 20000));
     const AdmissionDecision Decision = judged(Facts);
     RC_ASSERT(Decision.m_Step != AdmissionStep::Send);
-    RC_ASSERT(Decision.m_For > 0us);
+    RC_ASSERT(Decision.m_Delay > 0us);
     if (Decision.m_Step == AdmissionStep::Wait)
-      RC_ASSERT(Decision.m_For < Facts.m_TimeLeft);
+      RC_ASSERT(Decision.m_Delay < Facts.m_TimeLeft);
   });
 }
--- a/tests/decisions/request/ReplicaChoiceTest.cpp
+++ b/tests/decisions/request/ReplicaChoiceTest.cpp
@@ -176,11 +176,11 @@
   Known.m_Loads.sent("whole", 20, 10);
   REQUIRE(Chosen().m_Instance == &Limited);
   REQUIRE(Chosen().m_Limited);
-  REQUIRE(Chosen().m_SpareMs.value() > 0);
-  REQUIRE(Chosen().m_SpareMs.value() < 25);
+  REQUIRE(Chosen().m_PermitSavingMs.value() > 0);
+  REQUIRE(Chosen().m_PermitSavingMs.value() < 25);
   Known.m_Bounds.noteBusy("limited", at(1s) + 100ms, at(1s));
   REQUIRE(Chosen().m_Instance == &Whole);
   SECTION("alone it has no other to be compared with") {
-    REQUIRE_FALSE(Known.choose({&Limited}, prompt(0, 10))->m_SpareMs);
+    REQUIRE_FALSE(Known.choose({&Limited}, prompt(0, 10))->m_PermitSavingMs);
   }
 }
--- a/tests/decisions/request/RequestAttemptsTest.cpp
+++ b/tests/decisions/request/RequestAttemptsTest.cpp
@@ -53,7 +53,7 @@
   std::uint64_t violations() const {
     std::uint64_t Count = m_Violations;
     const bool ToldNotRun =
-        m_Answer && answerFor(m_Answer->m_Kind).m_Run == RunState::NotRun;
+        m_Answer && answerFor(m_Answer->m_Kind).m_RunState == RunState::NotRun;
     Count += ToldNotRun && m_Unsafe && m_Executions > 0 ? 1 : 0;
     Count += m_Unsafe && m_Executions > 1 ? 1 : 0;
     return Count;
@@ -85,7 +85,7 @@
     int &Sent = m_Sent[Attempt];
     const ErrorKind Kind =
         Kinds[static_cast<std::size_t>(Chance) % Kinds.size()];
-    const bool NotRun = answerFor(Kind).m_Run == RunState::NotRun;
+    const bool NotRun = answerFor(Kind).m_RunState == RunState::NotRun;
     // Boxes say "not run" only of what they did not run.
     if (Sent < 0 || (NotRun && m_Ran.count(Attempt) != 0))
       return;
--- a/tests/decisions/request/RequestStandingTest.cpp
+++ b/tests/decisions/request/RequestAuthorizationTest.cpp
@@ -1,4 +1,4 @@
-#include "decisions/request/RequestStanding.h"
+#include "decisions/request/RequestAuthorization.h"
 
 #include <catch2/catch.hpp>
 
@@ -10,9 +10,9 @@
 
 const RegionName North("north"), South("south");
 
-RequestStanding::ConfigPtr configOf(const Regions &OfRoute,
-                                    const Regions &OfOrganisation,
-                                    const std::string &Key = "h") {
+RequestAuthorization::ConfigPtr configOf(const Regions &OfRoute,
+                                         const Regions &OfOrganisation,
+                                         const std::string &Key = "h") {
   auto Config = std::make_shared<ServingConfig>();
   Route Of;
   Of.m_Name = "r";
@@ -27,7 +27,7 @@
   return Config;
 }
 
-RequestStanding standingOf(const RequestStanding::ConfigPtr &Config) {
+RequestAuthorization standingOf(const RequestAuthorization::ConfigPtr &Config) {
   return {Config,
           Config->m_Routes.front(),
           &Config->m_Organisations.front(),
@@ -39,7 +39,7 @@
 TEST_CASE("A request is judged by the configuration that it came with",
           "[regions]") {
   const auto Config = configOf({North}, {});
-  RequestStanding Standing = standingOf(Config);
+  RequestAuthorization Standing = standingOf(Config);
   Standing.update(nullptr);
   Standing.update(Config);
   REQUIRE_FALSE(Standing.refusal());
@@ -50,7 +50,7 @@
 TEST_CASE("Regions that change while a request is under way bind it",
           "[regions]") {
   const auto Config = configOf({}, {});
-  RequestStanding Standing = standingOf(Config);
+  RequestAuthorization Standing = standingOf(Config);
   SECTION("of its route") {
     Standing.update(configOf({South}, {}));
     REQUIRE_FALSE(Standing.regions().allows(North));
@@ -74,7 +74,7 @@
 TEST_CASE("The regions of a route that was removed go on binding its requests",
           "[regions]") {
   const auto Config = configOf({North}, {});
-  RequestStanding Standing = standingOf(Config);
+  RequestAuthorization Standing = standingOf(Config);
   auto Without = std::make_shared<ServingConfig>(*configOf({}, {}));
   Without->m_Routes.clear();
   Standing.update(Without);
@@ -84,7 +84,7 @@
 TEST_CASE("A request whose key is taken away is refused before its regions",
           "[regions][keys]") {
   const auto Config = configOf({North}, {});
-  RequestStanding Standing = standingOf(Config);
+  RequestAuthorization Standing = standingOf(Config);
   Standing.update(configOf({North}, {South}, "other"));
   REQUIRE(Standing.refusal()->m_Kind == ErrorKind::UnknownKey);
 }
--- a/tests/decisions/request/RetryAfterRefusalTest.cpp
+++ b/tests/decisions/request/RetryAfterRefusalTest.cpp
@@ -30,7 +30,7 @@
     const auto At = [&](double Draw) {
       return refuseForRetryAfter({&Late, &Soon}, Words, Draw, Start + 1s);
     };
-    REQUIRE(At(0) == RetryAfterRefusal{.m_Server = "soon", .m_After = 3s});
+    REQUIRE(At(0) == RetryAfterRefusal{.m_Upstream = "soon", .m_After = 3s});
     REQUIRE(At(1)->m_After == 4500ms);
   }
   SECTION("or a little more where that is short") {
--- a/tests/decisions/request/CallerClockTest.cpp
+++ b/tests/decisions/request/RetryDetectorTest.cpp
@@ -1,4 +1,4 @@
-#include "decisions/request/CallerClock.h"
+#include "decisions/request/RetryDetector.h"
 #include "support/Draw.h"
 #include "support/Names.h"
 #include <random>
@@ -46,15 +46,15 @@
 /// First tries that are taken for second ones, when nobody comes back.
 int misjudged(const Callers &Of) {
   Arrivals From(Of);
-  CallerClock Clock;
+  RetryDetector Clock;
   int Wrong = 0;
   for (int Try = 0; Try < Tries; ++Try) {
     const TimePoint Now = From.next();
     const Duration Left = From.firstDeadline();
-    if (Clock.sinceFirstTry("r", Left, Now) > 0us)
+    if (Clock.timeSinceFirstAttempt("r", Left, Now) > 0us)
       ++Wrong;
     if (From.refused())
-      Clock.turnedAway("r", Now);
+      Clock.recordRefusal("r", Now);
   }
   return Wrong;
 }
@@ -71,7 +71,7 @@
   /// Tries before the trouble begins.
   constexpr int Calm = 600;
   Arrivals From(Of);
-  CallerClock Clock;
+  RetryDetector Clock;
   for (int Try = 0; Try < Tries; ++Try) {
     const TimePoint Now = From.next();
     const Duration First = From.firstDeadline();
@@ -79,9 +79,9 @@
     const Duration Away =
         fromMillis((0.1 + 0.23 * From.chance()) * inMillis(First));
     const Duration Left = Second ? First - Away : First;
-    const Duration Since = Clock.sinceFirstTry("r", Left, Now);
+    const Duration Since = Clock.timeSinceFirstAttempt("r", Left, Now);
     if (Try > Calm && From.refused())
-      Clock.turnedAway("r", Now);
+      Clock.recordRefusal("r", Now);
     if (!Second && Since > 0us)
       ++Result.m_Wrong;
     if (!Second || inMillis(Left) > inMillis(Longest) * (0.85 - Of.m_Spread))
@@ -92,9 +92,9 @@
   }
 }
 
-void learn(CallerClock &Clock, Duration Deadline) {
+void learn(RetryDetector &Clock, Duration Deadline) {
   for (int Try = 0; Try < 500; ++Try)
-    Clock.sinceFirstTry("r", Deadline, at(Try * 50ms));
+    Clock.timeSinceFirstAttempt("r", Deadline, at(Try * 50ms));
 }
 
 } // namespace
@@ -129,62 +129,63 @@
 
 TEST_CASE("A second try has waited as long as its deadline is short",
           "[admission][first-tries]") {
-  CallerClock Clock;
+  RetryDetector Clock;
   learn(Clock, 5000ms);
-  Clock.turnedAway("r", at(300s));
-  REQUIRE(Clock.sinceFirstTry("r", 4999ms, at(301s)) == 0us);
-  REQUIRE(Clock.sinceFirstTry("r", 4200ms, at(301s)) == 799ms);
-  REQUIRE(Clock.sinceFirstTry("other", 4200ms, at(301s)) == 0us);
+  Clock.recordRefusal("r", at(300s));
+  REQUIRE(Clock.timeSinceFirstAttempt("r", 4999ms, at(301s)) == 0us);
+  REQUIRE(Clock.timeSinceFirstAttempt("r", 4200ms, at(301s)) == 799ms);
+  REQUIRE(Clock.timeSinceFirstAttempt("other", 4200ms, at(301s)) == 0us);
 }
 
 TEST_CASE("In doubt a try is a first one", "[admission][first-tries]") {
-  CallerClock Clock;
+  RetryDetector Clock;
   SECTION("a box that has just started") {
-    Clock.turnedAway("r", at(300s));
-    Clock.sinceFirstTry("r", 5000ms, at(300s));
-    REQUIRE(Clock.sinceFirstTry("r", 4200ms, at(301s)) == 0us);
+    Clock.recordRefusal("r", at(300s));
+    Clock.timeSinceFirstAttempt("r", 5000ms, at(300s));
+    REQUIRE(Clock.timeSinceFirstAttempt("r", 4200ms, at(301s)) == 0us);
   }
   SECTION("nobody was turned away") {
     learn(Clock, 5000ms);
-    REQUIRE(Clock.sinceFirstTry("r", 4200ms, at(301s)) == 0us);
+    REQUIRE(Clock.timeSinceFirstAttempt("r", 4200ms, at(301s)) == 0us);
   }
   SECTION("who was turned away has given up since") {
     learn(Clock, 5000ms);
-    Clock.turnedAway("r", at(300s));
-    REQUIRE(Clock.sinceFirstTry("r", 4200ms, at(500s)) == 0us);
+    Clock.recordRefusal("r", at(300s));
+    REQUIRE(Clock.timeSinceFirstAttempt("r", 4200ms, at(500s)) == 0us);
   }
   SECTION("more come than were turned away") {
     learn(Clock, 5000ms);
-    Clock.turnedAway("r", at(300s));
+    Clock.recordRefusal("r", at(300s));
     int Seconds = 0;
     for (int Try = 0; Try < 20; ++Try)
-      Seconds += Clock.sinceFirstTry("r", 4200ms, at(301s)) > 0us ? 1 : 0;
+      Seconds +=
+          Clock.timeSinceFirstAttempt("r", 4200ms, at(301s)) > 0us ? 1 : 0;
     REQUIRE(Seconds > 0);
     REQUIRE(Seconds <= 4);
   }
   SECTION("hardly any of those that were turned away come back") {
     learn(Clock, 5000ms);
     for (int Try = 0; Try < 100; ++Try)
-      Clock.turnedAway("r", at(300s));
-    REQUIRE(Clock.sinceFirstTry("r", 4200ms, at(301s)) == 0us);
+      Clock.recordRefusal("r", at(300s));
+    REQUIRE(Clock.timeSinceFirstAttempt("r", 4200ms, at(301s)) == 0us);
   }
 }
 
 TEST_CASE("A route whose deadlines become shorter is learned anew",
           "[admission][first-tries]") {
-  CallerClock Clock;
+  RetryDetector Clock;
   learn(Clock, 10s);
   for (int Try = 0; Try < 30; ++Try)
-    REQUIRE(Clock.sinceFirstTry("r", 4s, at(301s)) == 0us);
-  Clock.turnedAway("r", at(300s));
-  REQUIRE(Clock.sinceFirstTry("r", 4s, at(302s)) == 0us);
+    REQUIRE(Clock.timeSinceFirstAttempt("r", 4s, at(301s)) == 0us);
+  Clock.recordRefusal("r", at(300s));
+  REQUIRE(Clock.timeSinceFirstAttempt("r", 4s, at(302s)) == 0us);
 }
 
 TEST_CASE("Routes that nobody asks for any more are forgotten",
           "[admission][first-tries]") {
-  CallerClock Clock({.m_Routes = 10});
+  RetryDetector Clock({.m_MaxRoutes = 10});
   for (int Route = 0; Route < 200; ++Route) {
-    Clock.sinceFirstTry(std::to_string(Route), 5s, at(Route * 600s));
+    Clock.timeSinceFirstAttempt(std::to_string(Route), 5s, at(Route * 600s));
     REQUIRE(Clock.routes() <= 10);
   }
 }
--- a/tests/decisions/request/RequestReachTest.cpp
+++ b/tests/decisions/request/UpstreamEligibilityTest.cpp
@@ -1,4 +1,4 @@
-#include "decisions/request/RequestReach.h"
+#include "decisions/request/UpstreamEligibility.h"
 #include "support/Draw.h"
 #include "support/Names.h"
 
@@ -35,7 +35,7 @@
     m_View.update(std::move(List), Now);
   }
 
-  RequestReach get() const {
+  UpstreamEligibility get() const {
     return {m_View, m_Map, m_Regions, m_Service, m_Request};
   }
 
--- a/tests/gateway/OrganisationTest.cpp
+++ b/tests/gateway/OrganisationTest.cpp
@@ -353,9 +353,8 @@
                              HashKey);
   REQUIRE(Config.m_Organisations.size() == 1000);
   for (int Number = 0; Number < 1000; ++Number)
-    REQUIRE(
-        Config.holderOf({HashKey("key-" + std::to_string(Number))})->m_Name ==
-        "o-" + std::to_string(Number));
+    REQUIRE(Config.organisationFor({HashKey("key-" + std::to_string(Number))})
+                ->m_Name == "o-" + std::to_string(Number));
   const SecretHasher Other;
-  REQUIRE(Config.holderOf({Other("key-7")}) == nullptr);
+  REQUIRE(Config.organisationFor({Other("key-7")}) == nullptr);
 }
--- a/tests/soak/OrderOracle.cpp
+++ b/tests/soak/OrderOracle.cpp
@@ -78,7 +78,8 @@
   m_Loads.push_back(Order.m_At);
   while (m_Loads.front() <= Order.m_At - m_Bounds.m_LoadWindow)
     m_Loads.pop_front();
-  const double Most = m_Bounds.m_LoadsPerS * inSeconds(m_Bounds.m_LoadWindow) *
+  const double Most = m_Bounds.m_LoadsPerSecond *
+                          inSeconds(m_Bounds.m_LoadWindow) *
                           m_Bounds.m_LoadOverage +
                       m_Bounds.m_LoadAllowance;
   if (static_cast<double>(m_Loads.size()) > Most)
--- a/tests/soak/SoakBounds.h
+++ b/tests/soak/SoakBounds.h
@@ -16,7 +16,7 @@
   Duration m_OrderTurn = 3s;    ///< Between orders of two givers.
   Duration m_Thaw = 300ms;      ///< Orders count again after trouble.
   Duration m_LoadWindow = 5s;
-  double m_LoadsPerS = 2;
+  double m_LoadsPerSecond = 2;
   double m_LoadOverage = 1.1;
   double m_LoadAllowance = 3;
   Duration m_RetryWindow = 10s;
--- a/tests/soak/SoakConfig.cpp
+++ b/tests/soak/SoakConfig.cpp
@@ -33,7 +33,7 @@
             {"kvCacheTokens", 100000},
             {"weightsMb", SoakConfig::EngineMb},
             {"adapterCapacity", SoakConfig::AdapterLimit},
-            {"loadsPerS", Bounds.m_LoadsPerS},
+            {"loadsPerS", Bounds.m_LoadsPerSecond},
             {"modelList", std::move(Models)}}}};
 }
 
