--- a/packages/decisions/common/DataCentreMap.h
+++ b/packages/decisions/common/DataCentreMap.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which region each data centre lies in.
+/// The region of each data centre.
 #ifndef HAVENSTAIR_DECISIONS_COMMON_DATACENTREMAP_H
 #define HAVENSTAIR_DECISIONS_COMMON_DATACENTREMAP_H
 
@@ -8,7 +8,8 @@
 
 namespace havenstair {
 
-/// The operators' map of data centres. One that is not on it has no region.
+/// The operators' map from data centres to regions. A data centre that is not
+/// on the map has no region.
 class DataCentreMap {
 public:
   DataCentreMap() = default;
@@ -17,7 +18,7 @@
 
   bool operator==(const DataCentreMap &) const = default;
 
-  /// Empty for a data centre that is not on the map.
+  /// The region of \p DataCentre; empty if it is not on the map.
   RegionName regionOf(const DataCentreName &DataCentre) const;
   const std::map<DataCentreName, RegionName> &regions() const {
     return m_Regions;
--- a/packages/decisions/common/Id.h
+++ b/packages/decisions/common/Id.h
@@ -1,5 +1,5 @@
 /// \file
-/// Distinct string types for the names that pass through the system.
+/// Distinct string types for the names of things.
 #ifndef HAVENSTAIR_DECISIONS_COMMON_ID_H
 #define HAVENSTAIR_DECISIONS_COMMON_ID_H
 
@@ -11,7 +11,8 @@
 
 namespace havenstair {
 
-/// A name of one kind; names of different kinds do not convert.
+/// A name of one kind of thing. Names of different kinds do not convert into
+/// each other.
 template <typename Tag> class Id {
 public:
   Id() = default;
@@ -36,18 +37,20 @@
 using RegionName = Id<struct RegionTag>;
 using GroupName = Id<struct GroupTag>;
 using UpstreamName = Id<struct UpstreamTag>;
-/// A model or an adapter: whatever is loaded into accelerator memory.
+/// A model or an adapter, which is loaded into accelerator memory.
 using ArtifactName = Id<struct ArtifactTag>;
 using OrderId = Id<struct OrderTag>;
 using RequestId = Id<struct RequestTag>;
-/// Stands for a request whenever and wherever it comes again.
+/// Hash that identifies a request, whichever caller and box it comes through
+/// and however often.
 using RequestDigest = Id<struct RequestDigestTag>;
 using IdempotencyKey = Id<struct IdempotencyTag>;
 
-/// Memory of an accelerator in MiB.
+/// Accelerator memory in MiB.
 using MemoryMiB = std::int64_t;
 
-/// Version of an assignment or order; only ever rises.
+/// Version of an assignment or order. It only grows, so that a box can reject
+/// older ones.
 using FencingToken = std::uint64_t;
 
 } // namespace havenstair
--- a/packages/decisions/common/StableHash.cpp
+++ b/packages/decisions/common/StableHash.cpp
@@ -14,7 +14,7 @@
   return (Hash ^ Separator) * FnvPrime;
 }
 
-/// Finalizer of MurmurHash3; FNV alone leaves the high bits poorly mixed.
+/// The finalizer of MurmurHash3. FNV alone mixes the high bits poorly.
 std::uint64_t mix(std::uint64_t Hash) {
   Hash ^= Hash >> 33;
   Hash *= 0xff51afd7ed558ccdULL;
--- a/packages/decisions/common/StableHash.h
+++ b/packages/decisions/common/StableHash.h
@@ -1,6 +1,6 @@
 /// \file
-/// Hashing that every box computes alike, and rendezvous (highest random
-/// weight) choice built on it.
+/// A hash that is the same on every box, and rendezvous hashing (highest random
+/// weight) with it.
 #ifndef HAVENSTAIR_DECISIONS_COMMON_STABLEHASH_H
 #define HAVENSTAIR_DECISIONS_COMMON_STABLEHASH_H
 
@@ -12,11 +12,12 @@
 
 namespace havenstair {
 
-/// FNV-1a with a final mix; stable across builds and machines.
+/// Hash of two strings: FNV-1a with a final mix. It is stable across builds and
+/// machines.
 std::uint64_t stableHash(std::string_view First, std::string_view Second = {});
 
-/// Picks the box with the highest hash of (box, key); all callers that hold
-/// the same candidates pick the same one. Empty when there are none.
+/// Chooses the box with the highest hash of box and \p Key, the same on all
+/// boxes that have the same candidates. Empty without candidates.
 std::optional<BoxName> rendezvousPick(const std::vector<BoxName> &Candidates,
                                       std::string_view Key);
 
--- a/packages/decisions/common/Time.h
+++ b/packages/decisions/common/Time.h
@@ -1,5 +1,6 @@
 /// \file
-/// Time as the decisions see it: a value handed in by the caller, never read.
+/// Times and durations of the decisions, which get the current time as an
+/// argument and never read a clock.
 #ifndef HAVENSTAIR_DECISIONS_COMMON_TIME_H
 #define HAVENSTAIR_DECISIONS_COMMON_TIME_H
 
@@ -8,10 +9,10 @@
 
 namespace havenstair {
 
-/// All intervals are whole microseconds.
+/// A duration in whole microseconds.
 using Duration = std::chrono::microseconds;
 
-/// A clock without `now()`: decisions cannot read the time by themselves.
+/// A clock without `now()`, so that decisions cannot read the time.
 struct MonotonicClock {
   using duration = Duration;
   using rep = duration::rep;
@@ -20,23 +21,23 @@
   static constexpr bool is_steady = true; // NOLINT: name set by the standard
 };
 
-/// A point on the box's own monotonic clock.
+/// A time of the box's own monotonic clock.
 using TimePoint = MonotonicClock::time_point;
 
-/// Milliseconds since the Unix epoch; used only for ages of UUIDv7 keys.
+/// Milliseconds since the Unix epoch; used only for the ages of UUIDv7 keys.
 using WallMillis = std::int64_t;
 
-/// \p Time in milliseconds, with fractions.
+/// \p Time in milliseconds, with fractions of a millisecond.
 constexpr double inMillis(Duration Time) {
   return static_cast<double>(Time.count()) / 1000;
 }
 
-/// Longer times, from outside or from a sum, are as good as for ever; they must
-/// not overflow when they are added to a point in time.
+/// Upper bound of durations that come from outside or from a sum, so that they
+/// do not overflow when they are added to a time. It stands for no limit.
 constexpr Duration LongestDuration = std::chrono::hours(24 * 365 * 30);
 
-/// \p Micros microseconds, no longer than LongestDuration either way; zero for
-/// what is no number.
+/// \p Micros microseconds, bounded to LongestDuration in both directions; zero
+/// for NaN.
 constexpr Duration boundedMicros(double Micros) {
   constexpr auto Most = static_cast<double>(LongestDuration.count());
   if (Micros >= Most)
@@ -47,17 +48,18 @@
                           : Duration(0);
 }
 
-/// \p Millis milliseconds, down to a whole microsecond.
+/// \p Millis milliseconds, truncated to whole microseconds and bounded
+/// likewise.
 constexpr Duration fromMillis(double Millis) {
   return boundedMicros(Millis * 1000);
 }
 
-/// \p Time in seconds, with fractions.
+/// \p Time in seconds, with fractions of a second.
 constexpr double inSeconds(Duration Time) {
   return static_cast<double>(Time.count()) / 1e6;
 }
 
-/// \p Seconds seconds, down to a whole microsecond.
+/// \p Seconds seconds, truncated to whole microseconds and bounded likewise.
 constexpr Duration fromSeconds(double Seconds) {
   return boundedMicros(Seconds * 1e6);
 }
--- a/packages/decisions/request/AllowedRegions.cpp
+++ b/packages/decisions/request/AllowedRegions.cpp
@@ -5,8 +5,9 @@
 
 namespace havenstair {
 
-AllowedRegions::AllowedRegions(const Route &Of, const Organisation *Caller) {
-  const std::set<RegionName> &ByRoute = Of.m_AllowedRegions;
+AllowedRegions::AllowedRegions(const Route &MatchedRoute,
+                               const Organisation *Caller) {
+  const std::set<RegionName> &ByRoute = MatchedRoute.m_AllowedRegions;
   if (!ByRoute.empty())
     m_Regions = ByRoute;
   if (Caller == nullptr || Caller->m_AllowedRegions.empty())
@@ -16,10 +17,10 @@
     m_Regions = ByCaller;
     return;
   }
-  std::set<RegionName> Both;
+  std::set<RegionName> Common;
   std::set_intersection(ByRoute.begin(), ByRoute.end(), ByCaller.begin(),
-                        ByCaller.end(), std::inserter(Both, Both.end()));
-  m_Regions = std::move(Both);
+                        ByCaller.end(), std::inserter(Common, Common.end()));
+  m_Regions = std::move(Common);
 }
 
 bool AllowedRegions::allows(const RegionName &Region) const {
@@ -30,8 +31,8 @@
   if (!restricted())
     return "all";
   std::string Text;
-  for (const RegionName &Each : *m_Regions)
-    Text += (Text.empty() ? "" : ",") + Each.str();
+  for (const RegionName &Region : *m_Regions)
+    Text += (Text.empty() ? "" : ",") + Region.str();
   return Text.empty() ? "none in common" : Text;
 }
 
--- a/packages/decisions/request/AllowedRegions.h
+++ b/packages/decisions/request/AllowedRegions.h
@@ -10,28 +10,33 @@
 
 namespace havenstair {
 
-/// What route and organisation allow together: both bind where both name
-/// regions, and one that names allowsNone allows all.
+/// The intersection of the regions that the route and the organisation of a
+/// request allow. A route or organisation that names no region allows all.
 class AllowedRegions {
 public:
-  /// All regions.
+  /// Allows all regions.
   AllowedRegions() = default;
-  /// \p Caller may be null.
-  AllowedRegions(const Route &Of, const Organisation *Caller);
+  /// \p Caller is null for a request without an organisation; then only the
+  /// route restricts.
+  AllowedRegions(const Route &MatchedRoute, const Organisation *Caller);
 
   bool operator==(const AllowedRegions &) const = default;
 
-  /// Whether not all regions are allowed.
+  /// Whether the route or the organisation names regions.
   bool restricted() const { return m_Regions.has_value(); }
-  /// Whether allowsNone is: route and organisation have no region in common.
+  /// Whether no region is allowed: the route and the organisation have none in
+  /// common.
   bool allowsNone() const { return restricted() && m_Regions->empty(); }
-  /// Where regions are named, a data centre without one is not allowed.
+  /// Whether an upstream in \p Region may serve the request. An empty
+  /// \p Region, that of a data centre without one, is allowed only where no
+  /// regions are named.
   bool allows(const RegionName &Region) const;
-  /// For people: the names, or "all".
+  /// The names for logs and error details, separated by commas; "all" without
+  /// a restriction.
   std::string text() const;
 
 private:
-  std::optional<std::set<RegionName>> m_Regions;
+  std::optional<std::set<RegionName>> m_Regions; ///< Empty allows all.
 };
 
 } // namespace havenstair
--- a/packages/decisions/request/CallerIdentity.cpp
+++ b/packages/decisions/request/CallerIdentity.cpp
@@ -2,18 +2,20 @@
 
 namespace havenstair {
 
-CallerIdentity identifyCaller(const ServingConfig &Config, const Route &Of,
-                              const CallerCredentials &Given) {
+CallerIdentity identifyCaller(const ServingConfig &Config,
+                              const Route &MatchedRoute,
+                              const CallerCredentials &Credentials) {
   if (Config.m_Organisations.empty())
     return {};
   const auto Refused = [](ErrorKind Kind) {
     return CallerIdentity{.m_Organisation = nullptr, .m_Refusal = Kind};
   };
-  if (Given.m_Malformed)
+  if (Credentials.m_Malformed)
     return Refused(ErrorKind::UnknownKey);
-  if (!Given.m_Key)
-    return Of.m_Public ? CallerIdentity{} : Refused(ErrorKind::MissingKey);
-  const Organisation *Holder = Config.organisationFor(*Given.m_Key);
+  if (!Credentials.m_Key)
+    return MatchedRoute.m_Public ? CallerIdentity{}
+                                 : Refused(ErrorKind::MissingKey);
+  const Organisation *Holder = Config.organisationFor(*Credentials.m_Key);
   if (Holder == nullptr)
     return Refused(ErrorKind::UnknownKey);
   return {.m_Organisation = Holder, .m_Refusal = std::nullopt};
--- a/packages/decisions/request/CallerIdentity.h
+++ b/packages/decisions/request/CallerIdentity.h
@@ -10,20 +10,22 @@
 
 namespace havenstair {
 
-/// The organisation of a request, or why it is not served.
+/// The organisation of a request, or why the request is refused.
 struct CallerIdentity {
-  /// Lives as long as the configuration; null on a public route without a key,
-  /// and where the configuration knows no organisations.
+  /// Points into the configuration. Null on a public route without a key,
+  /// where the configuration has no organisations, and for a refusal.
   const Organisation *m_Organisation = nullptr;
-  std::optional<ErrorKind> m_Refusal;
+  std::optional<ErrorKind> m_Refusal; ///< Empty when the request may run.
 
   bool operator==(const CallerIdentity &) const = default;
 };
 
-/// A public route asks for no key, but a key that is given there has to be
-/// known all the same: what runs with a key runs for its holder.
-CallerIdentity identifyCaller(const ServingConfig &Config, const Route &Of,
-                              const CallerCredentials &Given);
+/// Finds the organisation that has the key in \p Credentials. A public route
+/// needs no key, but a key that is given there must be known all the same: the
+/// request then counts for the organisation that has it.
+CallerIdentity identifyCaller(const ServingConfig &Config,
+                              const Route &MatchedRoute,
+                              const CallerCredentials &Credentials);
 
 } // namespace havenstair
 
--- a/packages/decisions/request/EnginePriority.h
+++ b/packages/decisions/request/EnginePriority.h
@@ -1,5 +1,5 @@
 /// \file
-/// How urgent a request is to an engine.
+/// The priority that a request gets in an engine's queue.
 #ifndef HAVENSTAIR_DECISIONS_REQUEST_ENGINEPRIORITY_H
 #define HAVENSTAIR_DECISIONS_REQUEST_ENGINEPRIORITY_H
 
@@ -7,11 +7,12 @@
 
 namespace havenstair {
 
-/// From 0, the most urgent, to 9. The organisation's priority goes before the
-/// route's, and that before a short target. \p Of is null for nobody's request,
-/// which is as urgent as those of the last organisations.
-int enginePriority(const ServingConfig &Config, const Route &Through,
-                   const Organisation *Of);
+/// \returns a priority from 0, the most urgent, to 9. It is ordered by the
+/// organisation's priority, then by the route's, then by whether the route's
+/// target is short. \p Caller is null for a request without an organisation,
+/// which ranks with the least urgent organisations.
+int enginePriority(const ServingConfig &Config, const Route &MatchedRoute,
+                   const Organisation *Caller);
 
 } // namespace havenstair
 
--- a/packages/decisions/request/ErrorKind.cpp
+++ b/packages/decisions/request/ErrorKind.cpp
@@ -10,7 +10,7 @@
 constexpr RunState NotRun = RunState::NotRun;
 constexpr RunState Unknown = RunState::Unknown;
 
-/// In the order of the enumerators.
+/// The answers to the error kinds, in the order of the enumerators.
 constexpr std::array<ErrorAnswer, ErrorKindCount> Answers{{
     {401, "missing_key", NotRun, false, "No key was given."},
     {401, "unknown_key", NotRun, false, "The key is not known."},
@@ -23,7 +23,7 @@
      "The model does not exist or is not available to this group."},
     {429, "rate_limited", NotRun, true, "The group's rate limit is used up."},
     {429, "concurrency_limited", NotRun, true,
-     "The group has as many requests running as it may."},
+     "The group has reached its limit of running requests."},
     {503, "overloaded", NotRun, true,
      "The wait would be longer than the deadline."},
     {504, "deadline_passed", NotRun, true,
@@ -36,7 +36,7 @@
     {503, "no_allowed_upstream", NotRun, true,
      "No upstream is in a region that may serve the request."},
     {503, "owner_unavailable", NotRun, true,
-     "The box that admits for the upstream cannot be reached."},
+     "The box that owns the upstream cannot be reached."},
     {502, "owner_lost", Unknown, false,
      "The box that admitted the request was lost."},
     {503, "key_owner_unavailable", NotRun, true,
@@ -59,14 +59,14 @@
     {401, "operator_token_needed", NotRun, false,
      "The operator's token is missing or wrong."},
     {503, "no_configuration", NotRun, true,
-     "The box does not know a configuration yet."},
+     "The box has no configuration yet."},
     {504, "route_timeout", Unknown, false,
      "The upstream did not answer within the time of the route."},
     {503, "stopping", NotRun, true, "The box is about to stop."},
     {400, "request_barred", NotRun, false,
-     "Servers ended each time they ran this request, so it is not run."},
+     "Upstreams crashed each time they ran this request, so it is not run."},
     {502, "servers_ended", Unknown, false,
-     "Servers ended as they ran this request; it was not repeated."},
+     "Upstreams crashed while running this request; it was not repeated."},
     {500, "internal", Unknown, false, "An error inside the box."},
 }};
 
--- a/packages/decisions/request/ErrorKind.h
+++ b/packages/decisions/request/ErrorKind.h
@@ -1,5 +1,5 @@
 /// \file
-/// The one closed list of error kinds, and the table from kind to answer.
+/// All kinds of errors, and the table of the answer that each one gets.
 #ifndef HAVENSTAIR_DECISIONS_REQUEST_ERRORKIND_H
 #define HAVENSTAIR_DECISIONS_REQUEST_ERRORKIND_H
 
@@ -11,7 +11,7 @@
 
 namespace havenstair {
 
-/// Every way in which a request or an edit can fail.
+/// Every way in which a request, or an edit of the table, can fail.
 enum class ErrorKind {
   MissingKey,
   UnknownKey,
@@ -50,40 +50,40 @@
   Internal
 };
 
-/// Number of kinds; the table has one row for each.
+/// Number of error kinds; the table has one row for each.
 constexpr int ErrorKindCount = static_cast<int>(ErrorKind::Internal) + 1;
 
-/// What a caller may conclude about its request.
+/// Whether a request that failed may have been run.
 enum class RunState {
-  NotRun, ///< Certainly not run; may be sent again, even when unsafe.
-  Unknown ///< May have run, in whole or in part.
+  NotRun, ///< Certainly not run; even an unsafe request may be repeated.
+  Unknown ///< May have run, wholly or partly.
 };
 
-/// One row of the table from kind to answer.
+/// The answer to an error kind: one row of the table.
 struct ErrorAnswer {
   int m_HttpStatus;
-  std::string_view m_Code; ///< Stable code, also the metric label.
+  std::string_view m_Code; ///< Stable code for clients and metric labels.
   RunState m_RunState;
-  bool m_HasRetryAfter; ///< Whether a `Retry-After` makes sense.
-  std::string_view m_Message;
+  bool m_HasRetryAfter;       ///< Whether the answer has a `Retry-After`.
+  std::string_view m_Message; ///< Sentence for the caller.
 };
 
-/// Row of the table for \p Kind.
+/// The row of the table for \p Kind.
 const ErrorAnswer &answerFor(ErrorKind Kind);
 
-/// Kind whose stable code is \p Code; empty for a code nobody knows.
+/// The kind whose stable code is \p Code; empty for an unknown code.
 std::optional<ErrorKind> errorKindFromCode(std::string_view Code);
 
-/// A failure on its way to an answer.
+/// An error with what its answer needs besides the kind.
 struct Failure {
   ErrorKind m_Kind = ErrorKind::Internal;
-  Duration m_RetryAfter = 0us; ///< Zero where coming back makes no sense.
-  std::string m_Detail;        ///< Short text for a person; may be empty.
+  Duration m_RetryAfter = 0us; ///< Zero where a retry makes no sense.
+  std::string m_Detail;        ///< Short text for people; may be empty.
 
   bool operator==(const Failure &) const = default;
 };
 
-/// The exception for errors inside one box; carries the failure to answer.
+/// The exception for errors within one box; carries the failure.
 class RequestError : public std::runtime_error {
 public:
   explicit RequestError(Failure Reason);
--- a/packages/decisions/request/EventSplitter.cpp
+++ b/packages/decisions/request/EventSplitter.cpp
@@ -9,16 +9,16 @@
 
 constexpr std::string_view IdField = "id:";
 
-/// Place after the last blank line of \p Text; 0 without one. Lines end with
+/// Position after the last blank line of \p Text; 0 without one. Lines end with
 /// LF or CRLF (HTML Living Standard, section 9.2.6).
 std::size_t endOfEvents(std::string_view Text) {
-  const std::size_t Plain = Text.rfind("\n\n");
-  const std::size_t WithReturn = Text.rfind("\n\r\n");
+  const std::size_t AfterLf = Text.rfind("\n\n");
+  const std::size_t AfterCrLf = Text.rfind("\n\r\n");
   std::size_t End = 0;
-  if (Plain != std::string_view::npos)
-    End = Plain + 2;
-  if (WithReturn != std::string_view::npos)
-    End = std::max(End, WithReturn + 3);
+  if (AfterLf != std::string_view::npos)
+    End = AfterLf + 2;
+  if (AfterCrLf != std::string_view::npos)
+    End = std::max(End, AfterCrLf + 3);
   return End;
 }
 
@@ -27,10 +27,10 @@
 std::string EventSplitter::feed(std::string_view Bytes) {
   m_Rest.append(Bytes);
   const std::size_t End = endOfEvents(m_Rest);
-  std::string Whole = m_Rest.substr(0, End);
+  std::string Complete = m_Rest.substr(0, End);
   m_Rest.erase(0, End);
-  recordIds(Whole);
-  return Whole;
+  recordIds(Complete);
+  return Complete;
 }
 
 void EventSplitter::recordIds(std::string_view Events) {
@@ -45,9 +45,9 @@
     while (Line.starts_with(' '))
       Line.remove_prefix(1);
     std::int64_t Id = 0;
-    const auto Read =
+    const auto Parsed =
         std::from_chars(Line.data(), Line.data() + Line.size(), Id);
-    if (Read.ec == std::errc())
+    if (Parsed.ec == std::errc())
       m_LastId = Id;
   }
 }
--- a/packages/decisions/request/EventSplitter.h
+++ b/packages/decisions/request/EventSplitter.h
@@ -1,5 +1,5 @@
 /// \file
-/// Cuts a stream of server-sent events at the ends of its events.
+/// Splits a stream of server-sent events between its events.
 #ifndef HAVENSTAIR_DECISIONS_REQUEST_EVENTSPLITTER_H
 #define HAVENSTAIR_DECISIONS_REQUEST_EVENTSPLITTER_H
 
@@ -10,16 +10,17 @@
 
 namespace havenstair {
 
-/// Holds back the part of an event that has not yet ended: when the stream
-/// goes on elsewhere, the caller must not see half of one.
+/// Passes on complete events only and buffers the incomplete last one. A stream
+/// that is resumed at another upstream continues with a complete event, so the
+/// caller must not have been sent half of one.
 class EventSplitter {
 public:
-  /// Takes bytes as they come. \returns all events that are whole now.
+  /// Appends \p Bytes. \returns all events that are now complete.
   std::string feed(std::string_view Bytes);
-  /// Bytes after the last whole event.
+  /// Bytes after the last complete event.
   const std::string &rest() const { return m_Rest; }
   void dropRest() { m_Rest.clear(); }
-  /// Number of the last whole event that named one.
+  /// Numeric id of the last complete event that has one; empty before that.
   std::optional<std::int64_t> lastId() const { return m_LastId; }
 
 private:
--- a/packages/decisions/request/FairQueue.cpp
+++ b/packages/decisions/request/FairQueue.cpp
@@ -7,23 +7,24 @@
 FairQueue::FairQueue(Options Opts) : m_Opts(std::move(Opts)) {}
 
 void FairQueue::push(QueuedRequest Request) {
-  Flow &To = m_Flows[Request.m_Group];
-  // A group that was idle starts now: no credit for the past.
-  if (To.m_Requests.empty())
-    To.m_NextStart = std::max(To.m_NextStart, m_VirtualTime);
-  To.m_QueuedCost += Request.m_Cost;
+  Flow &Target = m_Flows[Request.m_Group];
+  // An idle group starts at the current virtual time; it gets no credit for the
+  // time that it did not use.
+  if (Target.m_Requests.empty())
+    Target.m_NextStart = std::max(Target.m_NextStart, m_VirtualTime);
+  Target.m_QueuedCost += Request.m_Cost;
   m_QueuedCost += Request.m_Cost;
   ++m_Size;
   const auto Place = std::find_if(
-      To.m_Requests.begin(), To.m_Requests.end(),
+      Target.m_Requests.begin(), Target.m_Requests.end(),
       [&](const auto &Other) { return Other.m_Priority < Request.m_Priority; });
-  To.m_Requests.insert(Place, std::move(Request));
+  Target.m_Requests.insert(Place, std::move(Request));
 }
 
-std::optional<QueuedRequest> FairQueue::pop(const Allowed &May) {
+std::optional<QueuedRequest> FairQueue::pop(const Allowed &IsAllowed) {
   Flow *Next = nullptr;
   for (auto &[Group, Candidate] : m_Flows) {
-    if (Candidate.m_Requests.empty() || (May && !May(Group)))
+    if (Candidate.m_Requests.empty() || (IsAllowed && !IsAllowed(Group)))
       continue;
     if (Next == nullptr || Candidate.m_NextStart < Next->m_NextStart)
       Next = &Candidate;
@@ -58,11 +59,12 @@
 }
 
 void FairQueue::charge(const GroupName &Group, double Cost) {
-  Flow &Of = m_Flows[Group];
-  if (Of.m_Requests.empty())
-    Of.m_NextStart = std::max(Of.m_NextStart, m_VirtualTime);
-  Of.m_NextStart += Cost / m_Opts.m_WeightOf(Group);
-  Of.m_NextStart = std::min(Of.m_NextStart, m_VirtualTime + m_Opts.m_MaxDebt);
+  Flow &Charged = m_Flows[Group];
+  if (Charged.m_Requests.empty())
+    Charged.m_NextStart = std::max(Charged.m_NextStart, m_VirtualTime);
+  Charged.m_NextStart += Cost / m_Opts.m_WeightOf(Group);
+  Charged.m_NextStart =
+      std::min(Charged.m_NextStart, m_VirtualTime + m_Opts.m_MaxDebt);
 }
 
 double FairQueue::queuedCost(const GroupName &Group) const {
@@ -87,7 +89,7 @@
   return All;
 }
 
-/// A flow that waits for nothing and owes nothing has no state worth keeping.
+/// Drops flows without waiting requests and without debt: they have no state.
 void FairQueue::forgetIdleFlows() {
   std::erase_if(m_Flows, [&](const auto &Item) {
     return Item.second.m_Requests.empty() &&
--- a/packages/decisions/request/ForwardingPolicy.cpp
+++ b/packages/decisions/request/ForwardingPolicy.cpp
@@ -11,12 +11,14 @@
 constexpr std::array<std::string_view, 6> StepNames{
     "send_again", "resume", "pass_on", "refuse", "fail", "cut"};
 
+/// Whether \p Outcome allows another run of the request.
 bool mayRepeat(SendOutcome Outcome, const ForwardingFacts &Facts) {
-  const bool Ran =
+  const bool MayHaveRun =
       Outcome == SendOutcome::Broken || Outcome == SendOutcome::ServerError;
-  return !Ran || Facts.m_Idempotent;
+  return !MayHaveRun || Facts.m_Idempotent;
 }
 
+/// The step when no further send is made.
 ForwardingStep giveUp(SendOutcome Outcome, const ForwardingFacts &Facts) {
   if (Outcome == SendOutcome::ServerError)
     return ForwardingStep::PassOn;
@@ -34,9 +36,9 @@
 }
 
 bool needsRetryBudget(ForwardingStep Step, SendOutcome Outcome) {
-  const bool Repeat =
+  const bool Repeats =
       Step == ForwardingStep::SendAgain || Step == ForwardingStep::Resume;
-  return Repeat && Outcome != SendOutcome::NotSent;
+  return Repeats && Outcome != SendOutcome::NotSent;
 }
 
 ForwardingStep nextStep(SendOutcome Outcome, const ForwardingFacts &Facts,
--- a/packages/decisions/request/ReplicaAdmission.h
+++ b/packages/decisions/request/ReplicaAdmission.h
@@ -1,5 +1,5 @@
 /// \file
-/// Whether a request is sent now, waits, or is refused with when to come back.
+/// Whether a request is sent now, waits, or is refused with a retry time.
 /// See docs/design/admission.md.
 #ifndef HAVENSTAIR_DECISIONS_REQUEST_REPLICAADMISSION_H
 #define HAVENSTAIR_DECISIONS_REQUEST_REPLICAADMISSION_H
@@ -10,70 +10,78 @@
 
 namespace havenstair {
 
-/// The best upstream that could take the request now.
+/// Expected times of a request at the best upstream that could run it now.
 struct ExpectedStart {
-  double m_FirstTokenMs = 0; ///< Until the first token.
-  double m_WorkMs = 0;       ///< The request's own part of it.
+  double m_FirstTokenMs = 0; ///< Time until its first token.
+  double m_WorkMs = 0;       ///< Part of that for its own work.
 
   bool operator==(const ExpectedStart &) const = default;
 };
 
-/// What admission judges by.
+/// The state that the admission of a request depends on.
 struct AdmissionFacts {
-  Duration m_Target = 1s;     ///< Of the route.
-  Duration m_GapTarget = 0us; ///< Longest pause of its streams.
-  Duration m_Waited = 0us;    ///< Since the request arrived.
+  Duration m_Target = 1s;     ///< The route's target time to the first token.
+  Duration m_GapTarget = 0us; ///< Longest pause in the route's streams.
+  Duration m_Waited = 0us;    ///< Time since the request arrived.
   Duration m_TimeLeft = 1s;   ///< Until the caller or the route gives up.
-  bool m_NamesModel = true;   ///< An upstream may have to load it.
-  std::optional<ExpectedStart> m_Start; ///< None when no upstream can.
-  /// Until a load that is under way serves; none when none is known.
+  bool m_NamesModel = true;   ///< An upstream may have to load its model.
+  std::optional<ExpectedStart> m_Start; ///< Empty if no upstream can run it.
+  /// Time until a load in progress is expected to serve the model; empty when
+  /// none is known.
   std::optional<Duration> m_ServesIn;
 };
 
+/// What to do with a request.
 enum class AdmissionStep { Send, Wait, Refuse };
 
+/// The decision on one request.
 struct AdmissionDecision {
   AdmissionStep m_Step = AdmissionStep::Send;
-  /// Until the request is judged again at the latest, or the caller may come
-  /// back.
+  /// For Wait, the time after which the request is decided on again at the
+  /// latest; for Refuse, the time after which the caller may retry.
   Duration m_Delay = 0us;
-  std::string_view m_Reason; ///< For the log.
+  std::string_view m_Reason; ///< Name of the reason in the log.
 
   bool operator==(const AdmissionDecision &) const = default;
 };
 
+/// The parameters of admission.
 struct AdmissionOptions {
-  /// Part of the target that a request's own work may take before it counts as
-  /// waiting for others. It keeps admission from refusing large requests only
-  /// because they are large.
+  /// Fraction of the target up to which a request's own work is subtracted
+  /// from it before the work of others is compared with the remainder. The
+  /// bound leaves a remainder even for large requests, which must not be
+  /// refused only because they are large.
   double m_MaxOwnWorkFraction = 0.5;
-  /// A try is refused when the work of others before it would take more
-  /// than this part of the target that its own work leaves: it would be late,
-  /// and make those behind it late.
+  /// A request is refused when the work of others before it would take more
+  /// than this fraction of what its own work leaves of the target: it would be
+  /// late, and delay those behind it.
   double m_MaxWaitFraction = 1.1;
-  /// First tokens come within this factor of what is expected, nearly always.
-  /// 0.83 against 0.76 (mean score of 16 days, 18 engines) with 3 against 1.7.
+  /// Nearly all first tokens come within this factor of the expected time. Mean
+  /// scores over 16 days with 18 engines: 0.83 with 3, 0.76 with 1.7.
   double m_EstimateErrorFactor = 2.9;
-  /// Part of the caller's time left. Callers follow a told time up to a third
-  /// of what they have left when they read it, which is less than what they
-  /// had left here: of 1 s it leaves 20 ms for the way back. Told when nothing
-  /// better is known: replicas come, and demand moves on, in seconds.
+  /// Longest retry time, as a fraction of the caller's time left; used as it is
+  /// when nothing better is known, since replicas appear and demand moves on
+  /// within seconds. Callers follow a retry time up to a third of the time that
+  /// is left when they read it. The way back takes some of it: 0.32 allows for
+  /// 20 ms of 1 s.
   double m_MaxRetryAfterFraction = 0.32;
-  /// A load that the order giver begins for a request that waits is known here
-  /// within this: a plan each 200 ms, two hops of 250 ms.
+  /// Time within which this box learns of a load that the leader has started
+  /// for a waiting request: one planning period of 200 ms and two hops of 250
+  /// ms.
   double m_LoadVisibleWithinMs = 750;
-  /// Times the target, and times the longest pause, that a caller is believed
-  /// to bear silence, the longer of both, within its deadline. Assumed, not
-  /// learned: callers tell no more than their deadline, and whom these turn
-  /// away would be served late at best.
+  /// A caller is assumed to wait for its first token for the longest of these
+  /// multiples of the target and of the longest pause, and m_MinPatience,
+  /// within its deadline. It cannot be learned, as callers send no more than
+  /// their deadline; a request that is refused by it would be served late at
+  /// best.
   double m_PatienceTargetFactor = 4;
   double m_PatienceGapFactor = 8;
-  /// Callers with targets of some hundred milliseconds bear at least this.
+  /// Even callers with targets of a few hundred milliseconds wait this long.
   Duration m_MinPatience = 2s;
 };
 
-/// \p Jitter, from 0 to 1, spreads those who are told to come back, so that
-/// they do not all return at once.
+/// Decides on one request. \p Jitter, from 0 to 1, spreads the retry times of
+/// refused callers, so that they do not all return at once.
 AdmissionDecision admit(const AdmissionFacts &Facts,
                         const AdmissionOptions &Opts, double Jitter);
 
--- a/packages/decisions/request/RequestAttempts.cpp
+++ b/packages/decisions/request/RequestAttempts.cpp
@@ -49,7 +49,7 @@
   m_Current = 0;
   m_LastFailure = Reason;
   m_HasLastFailure = true;
-  // Only the box is to blame: the upstream may be tried through another.
+  // Only the box failed; the upstream may be tried through another box.
   if (Reason.m_Kind == ErrorKind::OwnerLost ||
       Reason.m_Kind == ErrorKind::OwnerUnavailable)
     m_Tried.erase(m_CurrentUpstream);
--- a/packages/decisions/request/RequestAttempts.h
+++ b/packages/decisions/request/RequestAttempts.h
@@ -1,6 +1,6 @@
 /// \file
 /// The attempts of one request: which answers belong to it, and whether it
-/// may be tried again. See docs/design/unsafe-requests.md.
+/// may be repeated. See docs/design/unsafe-requests.md.
 #ifndef HAVENSTAIR_DECISIONS_REQUEST_REQUESTATTEMPTS_H
 #define HAVENSTAIR_DECISIONS_REQUEST_REQUESTATTEMPTS_H
 
@@ -12,26 +12,29 @@
 
 namespace havenstair {
 
-/// Number of an attempt within the process; never reused.
+/// Number of an attempt, unique within the process.
 using AttemptId = std::uint64_t;
 
-/// Try once more, at an upstream that was not tried yet.
+/// Send the request to an upstream that has not been tried yet.
 struct TryElsewhere {};
-/// Answer the caller with the failure, at once.
+/// Answer the caller with the failure at once.
 struct GiveUp {
   Failure m_Failure;
 };
-/// The event belongs to an attempt that was given up; drop it.
+/// Drop the event: it belongs to an attempt that is no longer current.
 struct Ignore {};
+/// What to do when an attempt has failed.
 using AttemptDecision = std::variant<TryElsewhere, GiveUp, Ignore>;
 
-/// Decides after each event of an attempt. At most one attempt is current.
+/// Tracks the attempts of one request and decides what follows a failure. At
+/// most one attempt is current; events of earlier ones are ignored.
 class RequestAttempts {
 public:
   struct Options {
-    bool m_Unsafe = false; ///< Must not run twice.
+    bool m_Unsafe = false; ///< The request must not run twice.
     int m_MaxAttempts = 3;
-    /// Hook for tests that let late answers through; true in the product.
+    /// Ignores events of attempts that are not current. Only tests of the test
+    /// oracle turn it off.
     bool m_MatchAttempts = true;
   };
 
@@ -39,20 +42,26 @@
 
   /// Makes \p Id the current attempt, at \p Upstream.
   void begin(AttemptId Id, const UpstreamName &Upstream);
-  /// Whether bytes of attempt \p Id go to the caller.
+  /// Whether bytes of attempt \p Id are passed to the caller.
   bool accepts(AttemptId Id) const;
-  /// Bytes of the answer went to the caller.
+  /// Bytes of the answer were passed to the caller.
   void delivered(AttemptId Id);
-  /// The whole answer went to the caller. \returns false for a late one.
+  /// The complete answer was passed to the caller. \returns whether \p Id is
+  /// the current attempt.
   bool completed(AttemptId Id);
-  /// The attempt failed with \p Reason, whose kind says whether it ran.
+  /// The attempt failed with \p Reason, whose kind tells whether it may have
+  /// run.
   AttemptDecision failed(AttemptId Id, const Failure &Reason);
-  /// No upstream was left to try.
+  /// The failure to answer with when no upstream is left to try: that of the
+  /// last attempt, or \p WhenNone before any failed.
   Failure exhausted(const Failure &WhenNone) const;
 
-  /// Upstreams that could not serve, and the current one.
+  /// Upstreams of failed attempts, and that of the current one. An upstream is
+  /// taken out when only the box that owns it failed.
   const std::set<UpstreamName> &tried() const { return m_Tried; }
+  /// Number of attempts so far.
   int count() const { return m_Count; }
+  /// Whether the request has its answer.
   bool done() const { return m_Done; }
 
 private:
@@ -67,7 +76,7 @@
   bool m_HasLastFailure = false;
 };
 
-/// Whether another upstream might do better after this kind.
+/// Whether another upstream may succeed after a failure of \p Kind.
 bool isRetryableElsewhere(ErrorKind Kind);
 
 } // namespace havenstair
--- a/packages/decisions/request/RequestAuthorization.cpp
+++ b/packages/decisions/request/RequestAuthorization.cpp
@@ -8,25 +8,29 @@
 
 namespace {
 
-/// What nobody may serve stays so until an operator changes it: no caller's
-/// deadline is as long.
-constexpr Duration UntilChanged = 60s;
-
-/// The route by its name, or \p Before when it has been removed since.
-const Route &newestOf(const ServingConfig &Config, const Route &Before) {
-  const auto Found = std::find_if(
-      Config.m_Routes.begin(), Config.m_Routes.end(),
-      [&](const Route &Each) { return Each.m_Name == Before.m_Name; });
-  return Found == Config.m_Routes.end() ? Before : *Found;
+/// Retry time when no region may serve the request. Only a change by an
+/// operator ends that, so it is longer than any caller's deadline.
+constexpr Duration NoRegionRetryAfter = 60s;
+
+/// The route of \p Config with the name of \p Previous; \p Previous itself when
+/// the route has been removed.
+const Route &newestOf(const ServingConfig &Config, const Route &Previous) {
+  const auto Found =
+      std::find_if(Config.m_Routes.begin(), Config.m_Routes.end(),
+                   [&](const Route &Candidate) {
+                     return Candidate.m_Name == Previous.m_Name;
+                   });
+  return Found == Config.m_Routes.end() ? Previous : *Found;
 }
 
 } // namespace
 
-RequestAuthorization::RequestAuthorization(ConfigPtr Config, const Route &Of,
+RequestAuthorization::RequestAuthorization(ConfigPtr Config,
+                                           const Route &MatchedRoute,
                                            const Organisation *Caller,
-                                           CallerCredentials Given)
-    : m_Config(std::move(Config)), m_Route(Of), m_Credentials(std::move(Given)),
-      m_Regions(Of, Caller) {}
+                                           CallerCredentials Credentials)
+    : m_Config(std::move(Config)), m_Route(MatchedRoute),
+      m_Credentials(std::move(Credentials)), m_Regions(MatchedRoute, Caller) {}
 
 void RequestAuthorization::update(const ConfigPtr &Newest) {
   if (Newest == nullptr || Newest == m_Config)
@@ -39,11 +43,10 @@
 
 std::optional<Failure> RequestAuthorization::refusal() const {
   if (m_KeyRefusal)
-    return Failure{.m_Kind = *m_KeyRefusal,
-                   .m_Detail = "the key was taken away"};
+    return Failure{.m_Kind = *m_KeyRefusal, .m_Detail = "the key was revoked"};
   if (m_Regions.allowsNone())
     return Failure{.m_Kind = ErrorKind::NoAllowedRegion,
-                   .m_RetryAfter = UntilChanged,
+                   .m_RetryAfter = NoRegionRetryAfter,
                    .m_Detail = m_Regions.text()};
   return std::nullopt;
 }
--- a/packages/decisions/request/RequestAuthorization.h
+++ b/packages/decisions/request/RequestAuthorization.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the newest configuration still allows a request that is under way.
+/// Whether the newest configuration still allows a request in progress.
 #ifndef HAVENSTAIR_DECISIONS_REQUEST_REQUESTAUTHORIZATION_H
 #define HAVENSTAIR_DECISIONS_REQUEST_REQUESTAUTHORIZATION_H
 
@@ -11,26 +11,29 @@
 
 namespace havenstair {
 
-/// Judges by the configuration with which the request came, and anew by each
-/// newer one: keys are taken away and regions change while a request waits and
-/// between two sends.
+/// Checks the key and the allowed regions of a request against the
+/// configuration with which it arrived, and again against each newer one: keys
+/// are revoked and regions change while a request waits and between two sends.
 class RequestAuthorization {
 public:
   using ConfigPtr = std::shared_ptr<const ServingConfig>;
 
-  /// \p Of and \p Caller, which may be null, are of \p Config. \p Of outlives
-  /// this.
-  RequestAuthorization(ConfigPtr Config, const Route &Of,
-                       const Organisation *Caller, CallerCredentials Given);
+  /// \p MatchedRoute and \p Caller are part of \p Config; \p Caller may be
+  /// null. \p MatchedRoute outlives this object.
+  RequestAuthorization(ConfigPtr Config, const Route &MatchedRoute,
+                       const Organisation *Caller,
+                       CallerCredentials Credentials);
 
-  /// Takes \p Newest into account, which may be null.
+  /// Checks the request against \p Newest. Null, and the configuration of the
+  /// last check, change nothing.
   void update(const ConfigPtr &Newest);
-  /// Why the request may not be sent anywhere any more; none if it may.
+  /// Why the request must not be sent to any upstream; empty if it may be sent.
   std::optional<Failure> refusal() const;
+  /// The regions that may serve the request.
   const AllowedRegions &regions() const { return m_Regions; }
 
 private:
-  ConfigPtr m_Config; ///< Judged by this one.
+  ConfigPtr m_Config; ///< The configuration of the last check.
   const Route &m_Route;
   CallerCredentials m_Credentials;
   std::optional<ErrorKind> m_KeyRefusal;
--- a/packages/decisions/request/RequestDescriptor.h
+++ b/packages/decisions/request/RequestDescriptor.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the decisions know of a caller's request.
+/// A caller's request, as far as the decisions depend on it.
 #ifndef HAVENSTAIR_DECISIONS_REQUEST_REQUESTDESCRIPTOR_H
 #define HAVENSTAIR_DECISIONS_REQUEST_REQUESTDESCRIPTOR_H
 
@@ -12,15 +12,15 @@
 
 namespace havenstair {
 
-/// A part of a prompt that other requests may share.
+/// A part of a prompt that other prompts may have in common with it.
 struct PromptPart {
-  std::string m_Id;
+  std::string m_Id; ///< Equal for equal parts.
   int m_Tokens = 0;
 
   bool operator==(const PromptPart &) const = default;
 };
 
-/// One attempt of a caller.
+/// One attempt of a caller's request.
 struct RequestDescriptor {
   std::string m_Id;
   std::string m_Host;
@@ -30,10 +30,12 @@
   std::vector<PromptPart> m_Prompt;
   int m_PromptTokens = 0;
   int m_MaxOutputTokens = 0;
-  bool m_HasTokenCounts = false; ///< The caller told both counts.
+  bool m_HasTokenCounts = false; ///< Whether the caller gave both counts.
   CallerCredentials m_Caller;
-  std::optional<std::int64_t> m_LastEvent; ///< The caller resumes after it.
-  std::optional<Duration> m_Deadline;      ///< What is left at arrival.
+  /// Id of the event after which the caller resumes a stream; empty without.
+  std::optional<std::int64_t> m_LastEvent;
+  /// Time left to the caller's deadline at arrival; empty without one.
+  std::optional<Duration> m_Deadline;
 
   bool operator==(const RequestDescriptor &) const = default;
 };
--- a/packages/decisions/request/RetryAfterRefusal.cpp
+++ b/packages/decisions/request/RetryAfterRefusal.cpp
@@ -6,29 +6,30 @@
 
 namespace {
 
-/// Part of the time that is left over which callers are spread.
-constexpr double SpreadPart = 0.5;
+/// Fraction of the remaining time over which retries are spread.
+constexpr double SpreadFraction = 0.5;
 
-/// And at least, as such times end close to each other.
-constexpr Duration LeastSpread = 250ms;
+/// Least time over which they are spread, as the retry times of upstreams end
+/// close to each other.
+constexpr Duration MinSpread = 250ms;
 
 } // namespace
 
 std::optional<RetryAfterRefusal>
-refuseForRetryAfter(const std::vector<const UpstreamInstance *> &Servers,
-                    const ServerWords &Words, double Draw, TimePoint Now) {
+refuseForRetryAfter(const std::vector<const UpstreamInstance *> &Upstreams,
+                    const ServerWords &Signals, double Draw, TimePoint Now) {
   std::optional<RetryAfterRefusal> First;
-  for (const UpstreamInstance *Each : Servers) {
-    const auto Until = Words.retryAt(Each->m_Id, Now);
+  for (const UpstreamInstance *Upstream : Upstreams) {
+    const auto Until = Signals.retryAt(Upstream->m_Id, Now);
     if (!Until)
       return std::nullopt;
     if (!First || *Until - Now < First->m_After)
-      First = {.m_Upstream = Each->m_Id, .m_After = *Until - Now};
+      First = {.m_Upstream = Upstream->m_Id, .m_After = *Until - Now};
   }
   if (!First)
     return std::nullopt;
   const double Spread =
-      std::max(SpreadPart * inMillis(First->m_After), inMillis(LeastSpread));
+      std::max(SpreadFraction * inMillis(First->m_After), inMillis(MinSpread));
   First->m_After += fromMillis(Draw * Spread);
   return First;
 }
--- a/packages/decisions/request/RetryAfterRefusal.h
+++ b/packages/decisions/request/RetryAfterRefusal.h
@@ -1,6 +1,6 @@
 /// \file
-/// When a caller may come back whom only servers could serve that this box has
-/// to keep away from.
+/// The refusal of a request for which all upstreams have asked this box to send
+/// nothing for some time.
 #ifndef HAVENSTAIR_DECISIONS_REQUEST_RETRYAFTERREFUSAL_H
 #define HAVENSTAIR_DECISIONS_REQUEST_RETRYAFTERREFUSAL_H
 
@@ -11,21 +11,23 @@
 
 namespace havenstair {
 
-/// What a refusal rests on.
+/// A refusal and its reason.
 struct RetryAfterRefusal {
-  InstanceId m_Upstream; ///< The one that takes requests again first.
-  Duration m_After = 0us;
+  /// The upstream that accepts requests again first.
+  InstanceId m_Upstream;
+  Duration m_After = 0us; ///< Time after which the caller may retry.
 
   bool operator==(const RetryAfterRefusal &) const = default;
 };
 
-/// Of \p Servers, all that could run a request, the first that takes one again;
-/// none when one of them takes requests now. \p Draw, from 0 to 1, spreads
-/// callers over half of the time that is left, so that they do not all meet the
-/// server at its end.
+/// Finds which of \p Upstreams, all that could run a request, accepts requests
+/// again first. \p Draw, from 0 to 1, spreads the retries of callers over half
+/// of the remaining time, so that they do not all reach the upstream at once.
+/// \returns nothing when one of \p Upstreams accepts requests now, or there is
+/// none.
 std::optional<RetryAfterRefusal>
-refuseForRetryAfter(const std::vector<const UpstreamInstance *> &Servers,
-                    const ServerWords &Words, double Draw, TimePoint Now);
+refuseForRetryAfter(const std::vector<const UpstreamInstance *> &Upstreams,
+                    const ServerWords &Signals, double Draw, TimePoint Now);
 
 } // namespace havenstair
 
--- a/packages/decisions/request/RetryDetector.cpp
+++ b/packages/decisions/request/RetryDetector.cpp
@@ -14,85 +14,88 @@
   return m_Routes[Route];
 }
 
-double RetryDetector::valueOf(const DecayingCount &Of, Duration Half,
+double RetryDetector::valueOf(const DecayingCount &Counter, Duration HalfLife,
                               TimePoint Now) {
-  const double Age = static_cast<double>((Now - Of.m_UpdatedAt).count()) /
-                     static_cast<double>(Half.count());
-  return Of.m_Sum * std::exp2(-std::max(0.0, Age));
+  const double Age = static_cast<double>((Now - Counter.m_UpdatedAt).count()) /
+                     static_cast<double>(HalfLife.count());
+  return Counter.m_Sum * std::exp2(-std::max(0.0, Age));
 }
 
-double RetryDetector::add(DecayingCount &To, Duration Half, TimePoint Now) {
-  To = {.m_Sum = valueOf(To, Half, Now) + 1, .m_UpdatedAt = Now};
-  return To.m_Sum;
+double RetryDetector::add(DecayingCount &Counter, Duration HalfLife,
+                          TimePoint Now) {
+  Counter = {.m_Sum = valueOf(Counter, HalfLife, Now) + 1, .m_UpdatedAt = Now};
+  return Counter.m_Sum;
 }
 
-void RetryDetector::learn(RouteStats &To, int Index, Duration Left,
+void RetryDetector::learn(RouteStats &Stats, int Index, Duration Left,
                           TimePoint Now) const {
-  Bucket &At = To.m_Buckets[Index];
-  const bool New = add(At.m_Attempts, m_Opts.m_LearningHalfLife, Now) < 2;
-  At.m_Shortest = New ? Left : std::min(At.m_Shortest, Left);
-  add(To.m_FirstAttempts, m_Opts.m_LearningHalfLife, Now);
+  Bucket &Learned = Stats.m_Buckets[Index];
+  const bool New = add(Learned.m_Attempts, m_Opts.m_LearningHalfLife, Now) < 2;
+  Learned.m_Shortest = New ? Left : std::min(Learned.m_Shortest, Left);
+  add(Stats.m_FirstAttempts, m_Opts.m_LearningHalfLife, Now);
 }
 
-bool RetryDetector::usual(const RouteStats &Known, int Index,
+bool RetryDetector::usual(const RouteStats &Stats, int Index,
                           TimePoint Now) const {
-  const auto At = Known.m_Buckets.find(Index);
-  return At != Known.m_Buckets.end() &&
-         valueOf(At->second.m_Attempts, m_Opts.m_LearningHalfLife, Now) >=
+  const auto Found = Stats.m_Buckets.find(Index);
+  return Found != Stats.m_Buckets.end() &&
+         valueOf(Found->second.m_Attempts, m_Opts.m_LearningHalfLife, Now) >=
              m_Opts.m_MinUsualShare *
-                 valueOf(Known.m_FirstAttempts, m_Opts.m_LearningHalfLife, Now);
+                 valueOf(Stats.m_FirstAttempts, m_Opts.m_LearningHalfLife, Now);
 }
 
-bool RetryDetector::retriesMatchRefusals(const RouteStats &Known,
+bool RetryDetector::retriesMatchRefusals(const RouteStats &Stats,
                                          TimePoint Now) const {
-  /// So few may be there by chance.
-  constexpr double Few = 2;
-  const double Away =
-      valueOf(Known.m_Refused, m_Opts.m_ComparisonHalfLife, Now);
-  const double Back =
-      valueOf(Known.m_Unusual, m_Opts.m_ComparisonHalfLife, Now);
-  return Away >= 0.5 && Back >= m_Opts.m_MinRetriesPerRefusal * Away &&
-         Back <= m_Opts.m_MaxRetriesPerRefusal * Away + Few;
+  /// So few unusual deadlines may occur without any retry.
+  constexpr double ChanceRetries = 2;
+  const double Refusals =
+      valueOf(Stats.m_Refused, m_Opts.m_ComparisonHalfLife, Now);
+  const double Retries =
+      valueOf(Stats.m_Unusual, m_Opts.m_ComparisonHalfLife, Now);
+  return Refusals >= 0.5 &&
+         Retries >= m_Opts.m_MinRetriesPerRefusal * Refusals &&
+         Retries <= m_Opts.m_MaxRetriesPerRefusal * Refusals + ChanceRetries;
 }
 
-Duration RetryDetector::timeBelowUsual(const RouteStats &Known, int Index,
+Duration RetryDetector::timeBelowUsual(const RouteStats &Stats, int Index,
                                        Duration Left, TimePoint Now) const {
-  const double Lately =
-      valueOf(Known.m_Recent, m_Opts.m_ComparisonHalfLife, Now);
-  if (valueOf(Known.m_Unusual, m_Opts.m_ComparisonHalfLife, Now) <
-      m_Opts.m_MinRetryShare * Lately)
+  const double Recent =
+      valueOf(Stats.m_Recent, m_Opts.m_ComparisonHalfLife, Now);
+  if (valueOf(Stats.m_Unusual, m_Opts.m_ComparisonHalfLife, Now) <
+      m_Opts.m_MinRetryShare * Recent)
     return 0us;
-  // Near deadlines that some first tries had it may be one of them.
-  constexpr int Near = 2;
+  // A deadline close to those of first attempts may belong to one of them.
+  constexpr int Distance = 2;
   double Sum = 0;
-  const auto End = Known.m_Buckets.upper_bound(Index + Near);
-  for (auto At = Known.m_Buckets.lower_bound(Index - Near); At != End; ++At)
-    Sum += valueOf(At->second.m_Attempts, m_Opts.m_LearningHalfLife, Now);
+  const auto End = Stats.m_Buckets.upper_bound(Index + Distance);
+  for (auto Near = Stats.m_Buckets.lower_bound(Index - Distance); Near != End;
+       ++Near)
+    Sum += valueOf(Near->second.m_Attempts, m_Opts.m_LearningHalfLife, Now);
   if (Sum >= m_Opts.m_MinUsualShare *
-                 valueOf(Known.m_FirstAttempts, m_Opts.m_LearningHalfLife, Now))
+                 valueOf(Stats.m_FirstAttempts, m_Opts.m_LearningHalfLife, Now))
     return 0us;
-  const auto Longer = Known.m_Buckets.upper_bound(Index);
-  return Longer == Known.m_Buckets.end() ? 0us
+  const auto Longer = Stats.m_Buckets.upper_bound(Index);
+  return Longer == Stats.m_Buckets.end() ? 0us
                                          : Longer->second.m_Shortest - Left;
 }
 
 Duration RetryDetector::timeSinceFirstAttempt(const std::string &Route,
                                               Duration Left, TimePoint Now) {
-  RouteStats &Known = statsFor(Route, Now);
+  RouteStats &Stats = statsFor(Route, Now);
   const int Index =
       static_cast<int>(std::floor(std::log(std::max(1.0, inMillis(Left))) /
                                   std::log1p(m_Opts.m_BucketWidth)));
-  add(Known.m_Recent, m_Opts.m_ComparisonHalfLife, Now);
-  const bool Unusual = !usual(Known, Index, Now);
+  add(Stats.m_Recent, m_Opts.m_ComparisonHalfLife, Now);
+  const bool Unusual = !usual(Stats, Index, Now);
   if (Unusual)
-    add(Known.m_Unusual, m_Opts.m_ComparisonHalfLife, Now);
-  if (valueOf(Known.m_FirstAttempts, m_Opts.m_LearningHalfLife, Now) <
+    add(Stats.m_Unusual, m_Opts.m_ComparisonHalfLife, Now);
+  if (valueOf(Stats.m_FirstAttempts, m_Opts.m_LearningHalfLife, Now) <
           m_Opts.m_MinLearned ||
-      !retriesMatchRefusals(Known, Now)) {
-    learn(Known, Index, Left, Now);
+      !retriesMatchRefusals(Stats, Now)) {
+    learn(Stats, Index, Left, Now);
     return 0us;
   }
-  return Unusual ? timeBelowUsual(Known, Index, Left, Now) : 0us;
+  return Unusual ? timeBelowUsual(Stats, Index, Left, Now) : 0us;
 }
 
 void RetryDetector::recordRefusal(const std::string &Route, TimePoint Now) {
--- a/packages/decisions/request/RetryDetector.h
+++ b/packages/decisions/request/RetryDetector.h
@@ -1,5 +1,6 @@
 /// \file
-/// How long a caller has waited already, from the deadlines that it sends.
+/// How long a caller has waited already, estimated from the deadlines that its
+/// requests carry.
 #ifndef HAVENSTAIR_DECISIONS_REQUEST_RETRYDETECTOR_H
 #define HAVENSTAIR_DECISIONS_REQUEST_RETRYDETECTOR_H
 
@@ -10,87 +11,97 @@
 
 namespace havenstair {
 
-/// Tells second tries from first ones, and takes a try for a first one in
-/// doubt. Learns with which deadlines callers of a route begin; a second try
-/// comes with one that hardly any first try has, shorter than some, and about
-/// as many come as were turned away. See docs/design/first-tries.md.
+/// Tells a caller's retries from first attempts; in doubt, a request counts as
+/// a first attempt. It learns the deadlines that first attempts of a route
+/// usually carry. A retry has a shorter deadline that hardly any first attempt
+/// has, and there are about as many retries as refusals. See
+/// docs/design/first-tries.md.
 class RetryDetector {
 public:
   struct Options {
-    /// Deadlines within this part of each other count as equal: a second try
-    /// is told from the twentieth of the deadline on that callers are told to
-    /// stay away at least.
+    /// Relative width of a bucket of deadlines; deadlines within one bucket
+    /// count as equal. Callers are told to wait for at least a twentieth of
+    /// their deadline, so a retry falls into another bucket.
     double m_BucketWidth = 0.05;
-    /// Part of a route's tries that makes a deadline one of first tries: even
-    /// callers that are one in 25 of all, spread by 30 in 100, come to it.
+    /// Least share of a route's attempts that makes a bucket of deadlines a
+    /// usual one for first attempts. Even a kind of callers that makes up one
+    /// in 25 of all, with deadlines spread by 30 percent, reaches it.
     double m_MinUsualShare = 0.01;
-    /// Fewer second tries than this part of all are not worth a mistake: taken
-    /// for first ones they add so little to the demand.
+    /// Least share of retries among recent requests. Below it they are taken
+    /// for first attempts: they add too little to the demand to be worth the
+    /// risk of a mistake.
     double m_MinRetryShare = 0.04;
-    /// Tries before any is judged: a kind of callers that is one in 25 has
-    /// come 16 times by then.
+    /// Number of attempts that are learned from before any is judged. By then a
+    /// kind of callers that makes up one in 25 has come 16 times.
     double m_MinLearned = 400;
-    /// What was learned counts half after this: callers' programs change with
-    /// their releases, in hours, and a box sees some tries of a route a minute.
+    /// Half-life of the learned deadlines. Callers' programs change with their
+    /// releases, in hours, and a box sees a few attempts of a route a minute.
     Duration m_LearningHalfLife = 1800s;
-    /// Tries with unusual deadlines are second ones while their number is that
-    /// of the tries turned away here, within these factors: callers come back
-    /// to any box, and boxes turn away unevenly; fewer means that they stay
-    /// away, more that callers of another kind have come.
+    /// Requests with unusual deadlines are retries only while their number,
+    /// divided by that of this box's refusals, lies between these bounds.
+    /// Callers retry at any box, and boxes refuse unevenly, so the two are not
+    /// equal. Fewer means that callers do not retry, more that another kind of
+    /// callers has come.
     double m_MinRetriesPerRefusal = 0.1;
     double m_MaxRetriesPerRefusal = 3;
-    /// Both numbers count half after this: callers come back within their
-    /// deadlines, and some must be counted to be compared.
+    /// Half-life of both numbers: callers retry within their deadlines, and
+    /// enough must be counted to be compared.
     Duration m_ComparisonHalfLife = 60s;
-    /// Routes that are remembered at least; beyond, those that nobody has asked
-    /// for in the time of m_LearningHalfLife go. Far more than a box serves at
-    /// a time.
+    /// Number of routes above which those without a request for
+    /// m_LearningHalfLife are dropped; far more than a box serves at a time.
     std::size_t m_MaxRoutes = 1000;
   };
 
   RetryDetector() : RetryDetector(Options{}) {}
   explicit RetryDetector(Options Opts) : m_Opts(Opts) {}
 
-  /// Least time since the first try of a caller that has \p Left; zero for a
-  /// first try, and in doubt.
+  /// Records a request of \p Route whose caller has \p Left until its
+  /// deadline. \returns the least time since the caller's first attempt; zero
+  /// for a first attempt, and in doubt.
   Duration timeSinceFirstAttempt(const std::string &Route, Duration Left,
                                  TimePoint Now);
-  /// A caller of \p Route was not served, and may come back.
+  /// Records that a request of \p Route was refused; its caller may retry.
   void recordRefusal(const std::string &Route, TimePoint Now);
+  /// Number of routes that are kept.
   std::size_t routes() const { return m_Routes.size(); }
 
 private:
-  /// Tries, counted with decay.
+  /// A count with exponential decay.
   struct DecayingCount {
-    double m_Sum = 0;
+    double m_Sum = 0; ///< Value at m_UpdatedAt.
     TimePoint m_UpdatedAt{};
   };
-  /// First tries whose deadlines lie within one step.
+  /// First attempts whose deadlines lie within one bucket.
   struct Bucket {
     DecayingCount m_Attempts;
-    Duration m_Shortest = 0us;
+    Duration m_Shortest = 0us; ///< Shortest deadline among them.
   };
+  /// What is known of one route.
   struct RouteStats {
-    std::map<int, Bucket> m_Buckets;
-    DecayingCount m_FirstAttempts;
-    DecayingCount m_Recent;
+    std::map<int, Bucket> m_Buckets; ///< By logarithm of the deadline.
+    DecayingCount m_FirstAttempts;   ///< Over all buckets.
+    DecayingCount m_Recent;          ///< All requests.
     DecayingCount m_Refused;
-    DecayingCount m_Unusual;
+    DecayingCount m_Unusual; ///< Requests with an unusual deadline.
   };
 
-  /// What is known of \p Route; makes room for a new one.
+  /// The statistics of \p Route; adds it, and drops idle routes, if needed.
   RouteStats &statsFor(const std::string &Route, TimePoint Now);
-  static double valueOf(const DecayingCount &Of, Duration Half, TimePoint Now);
-  static double add(DecayingCount &To, Duration Half, TimePoint Now);
-  void learn(RouteStats &To, int Index, Duration Left, TimePoint Now) const;
-  /// Whether first tries come with deadlines of step \p Index.
-  bool usual(const RouteStats &Known, int Index, TimePoint Now) const;
-  /// Whether those who come with unusual deadlines are about as many as were
-  /// turned away.
-  bool retriesMatchRefusals(const RouteStats &Known, TimePoint Now) const;
+  static double valueOf(const DecayingCount &Counter, Duration HalfLife,
+                        TimePoint Now);
+  /// Adds one. \returns the new value.
+  static double add(DecayingCount &Counter, Duration HalfLife, TimePoint Now);
+  /// Records a first attempt with \p Left to its deadline.
+  void learn(RouteStats &Stats, int Index, Duration Left, TimePoint Now) const;
+  /// Whether first attempts usually have deadlines of bucket \p Index.
+  bool usual(const RouteStats &Stats, int Index, TimePoint Now) const;
+  /// Whether there are about as many requests with unusual deadlines as
+  /// refusals.
+  bool retriesMatchRefusals(const RouteStats &Stats, TimePoint Now) const;
 
-  /// Time since the first try for an unusual deadline; zero in doubt.
-  Duration timeBelowUsual(const RouteStats &Known, int Index, Duration Left,
+  /// By how much the unusual deadline \p Left is shorter than the next longer
+  /// one of first attempts; zero in doubt.
+  Duration timeBelowUsual(const RouteStats &Stats, int Index, Duration Left,
                           TimePoint Now) const;
 
   Options m_Opts;
--- a/packages/decisions/request/Router.cpp
+++ b/packages/decisions/request/Router.cpp
@@ -8,11 +8,12 @@
 
 namespace {
 
-/// Characters of a prompt that identify its conversation's shared start.
+/// Number of characters at the start of a prompt that are hashed. Calls of one
+/// conversation share them.
 constexpr std::size_t PrefixLength = 1024;
 
-std::uint64_t preference(const Candidate &Of, std::uint64_t Prefix) {
-  return stableHash(Of.m_Upstream.str(), std::to_string(Prefix));
+std::uint64_t preference(const Candidate &Upstream, std::uint64_t Prefix) {
+  return stableHash(Upstream.m_Upstream.str(), std::to_string(Prefix));
 }
 
 } // namespace
@@ -34,11 +35,11 @@
   const auto Least = std::min_element(
       Candidates.begin(), Candidates.end(),
       [](const auto &A, const auto &B) { return A.m_Pressure < B.m_Pressure; });
-  const double Most = Least->m_Pressure + Slack;
+  const double MaxPressure = Least->m_Pressure + Slack;
   const Candidate *Best = nullptr;
   std::uint64_t BestHash = 0;
   for (const Candidate &Each : Candidates) {
-    if (Each.m_Pressure > Most)
+    if (Each.m_Pressure > MaxPressure)
       continue;
     const std::uint64_t Hash = preference(Each, Prefix);
     if (Best != nullptr && Hash <= BestHash)
--- a/packages/decisions/request/UpstreamAdmission.cpp
+++ b/packages/decisions/request/UpstreamAdmission.cpp
@@ -9,11 +9,11 @@
 
 /// Weight of the newest sample in the mean service time.
 constexpr double ServiceTimeGain = 0.1;
-constexpr Duration LeastRetryAfter = 100ms;
-/// Only a group that runs this many times its share leaves slots free. With 1
-/// also groups that differ by chance held each other up: the moving burst lost
-/// 2 points of attainment.
-constexpr int FarAbove = 2;
+constexpr Duration MinRetryAfter = 100ms;
+/// Only a group that runs more than this many times its share leaves slots
+/// free. With 1, groups that differ by chance delayed each other too:
+/// attainment of targets under a moving burst was 2 points lower.
+constexpr int ShareMultiple = 2;
 
 } // namespace
 
@@ -26,7 +26,7 @@
   AdmissionActions Actions;
   m_LastSeen[Request.m_Group] = Now;
   if (m_Queue.empty() && mayStart(Request.m_Group, Now)) {
-    // Also an idle upstream counts the cost, for the groups' shares.
+    // The cost counts for the groups' shares on an idle upstream too.
     m_Queue.push(Request);
     m_Queue.pop();
     start(Request, Now, Actions);
@@ -69,8 +69,8 @@
     start(*Next, Now, Actions);
 }
 
-/// The last slots stay free for groups that come back to less than their
-/// share, so that they need not wait for a long answer of another to end.
+/// Reserves the last slots for groups below their share, so that they need not
+/// wait for the end of a long answer of another group when they return.
 bool UpstreamAdmission::mayStart(const GroupName &Group, TimePoint Now) const {
   const int Free = m_Opts.m_Slots - static_cast<int>(m_Running.size());
   if (Free <= 0)
@@ -78,7 +78,7 @@
   const bool Reserving = m_Opts.m_Slots >= m_Opts.m_MinSlotsToReserve;
   if (!Reserving || Free > m_Opts.m_ReservedSlots)
     return true;
-  if (!aboveShare(Group, runningOf(Group) / FarAbove + 1, Now))
+  if (!aboveShare(Group, runningOf(Group) / ShareMultiple + 1, Now))
     return true;
   return std::none_of(m_LastSeen.begin(), m_LastSeen.end(),
                       [&](const auto &Item) {
@@ -94,7 +94,8 @@
                                   Now - Found->second < m_Opts.m_ActiveFor);
 }
 
-/// Share of the slots by weight among the groups that are active.
+/// Whether \p Running requests are more than the group's share of the slots, by
+/// weight among the active groups. One request never is.
 bool UpstreamAdmission::aboveShare(const GroupName &Group, int Running,
                                    TimePoint Now) const {
   const double Own = m_Opts.m_WeightOf(Group);
@@ -116,15 +117,15 @@
   const auto Found = m_Running.find(Id);
   if (Found == m_Running.end())
     return Actions;
-  const Running Done = Found->second;
+  const Running Ended = Found->second;
   m_Running.erase(Found);
-  --m_RunningOf[Done.m_Group];
-  const Duration Took = Now - Done.m_Started;
+  --m_RunningOf[Ended.m_Group];
+  const Duration Took = Now - Ended.m_Started;
   const double Step =
       ServiceTimeGain * static_cast<double>((Took - m_MeanService).count());
   m_MeanService += Duration(static_cast<Duration::rep>(Step));
-  m_Queue.charge(Done.m_Group, Cost - Done.m_Estimate);
-  m_Served[Done.m_Group] += Cost;
+  m_Queue.charge(Ended.m_Group, Cost - Ended.m_Estimate);
+  m_Served[Ended.m_Group] += Cost;
   startWaiting(Now, Actions);
   return Actions;
 }
@@ -147,9 +148,9 @@
                 [&](const auto &Item) { return !active(Item.first, Now); });
   std::map<GroupName, int> Ahead;
   for (const QueuedRequest &Request : m_Queue.waiting()) {
-    int &Before = Ahead[Request.m_Group];
-    if (Now + waitBehind(Request.m_Group, Before) <= Request.m_Deadline) {
-      ++Before;
+    int &AheadOfGroup = Ahead[Request.m_Group];
+    if (Now + waitBehind(Request.m_Group, AheadOfGroup) <= Request.m_Deadline) {
+      ++AheadOfGroup;
       continue;
     }
     const ErrorKind Kind = Now > Request.m_Deadline ? ErrorKind::DeadlinePassed
@@ -182,16 +183,17 @@
   return waitBehind(Group, Found == m_WaitingOf.end() ? 0 : Found->second);
 }
 
-/// With S slots and mean service time T a slot frees every T/S; the group gets
-/// its share of them. Never longer than waiting behind the whole queue.
+/// With S slots and mean service time T, a slot becomes free every T/S, and the
+/// group gets its share of them. The wait is never longer than behind the whole
+/// queue.
 Duration UpstreamAdmission::waitBehind(const GroupName &Group,
                                        int Ahead) const {
   const double PerSlot =
       static_cast<double>(m_MeanService.count()) / m_Opts.m_Slots;
   const double ByShare = (Ahead + 1) / m_Queue.shareOf(Group);
-  const double Whole = static_cast<double>(m_Queue.size() + 1);
-  const double Turns = std::min(ByShare, Whole);
-  return Duration(static_cast<Duration::rep>(Turns * PerSlot));
+  const double WholeQueue = static_cast<double>(m_Queue.size() + 1);
+  const double SlotsNeeded = std::min(ByShare, WholeQueue);
+  return Duration(static_cast<Duration::rep>(SlotsNeeded * PerSlot));
 }
 
 RefuseRequest UpstreamAdmission::refuse(const QueuedRequest &Request,
@@ -201,12 +203,12 @@
   return {
       Request.m_Id,
       {.m_Kind = Kind,
-       .m_RetryAfter = std::max(expectedWait(Request.m_Group), LeastRetryAfter),
+       .m_RetryAfter = std::max(expectedWait(Request.m_Group), MinRetryAfter),
        .m_Detail = {}}};
 }
 
-/// Little's law: a refused request would have run for the mean service time,
-/// so it counts for about that long.
+/// By Little's law, a refused request counts for about the mean service time,
+/// for which it would have run.
 double UpstreamAdmission::refusedLoad(TimePoint Now) const {
   const auto Since = static_cast<double>((Now - m_RefusedAt).count());
   const auto Mean =
--- a/packages/decisions/request/UpstreamAdmission.h
+++ b/packages/decisions/request/UpstreamAdmission.h
@@ -1,6 +1,6 @@
 /// \file
-/// Admission to one upstream, decided by its owner: run now, wait, or refuse
-/// at once. See docs/design/admission.md.
+/// Admission to one upstream, which its owner decides: start a request now,
+/// queue it, or refuse it at once. See docs/design/admission.md.
 #ifndef HAVENSTAIR_DECISIONS_REQUEST_UPSTREAMADMISSION_H
 #define HAVENSTAIR_DECISIONS_REQUEST_UPSTREAMADMISSION_H
 
@@ -13,80 +13,84 @@
 
 namespace havenstair {
 
-/// Load of an upstream, as digests and answers carry it.
+/// The load of an upstream, as boxes report it to each other.
 struct UpstreamLoad {
   int m_Running = 0;
   int m_Waiting = 0;
   int m_Slots = 1;
-  /// Requests that would be running, had they not been refused lately.
+  /// Estimate of the requests that would be running now, had they not been
+  /// refused.
   int m_Refused = 0;
 
-  /// Requests running or waiting for each slot.
+  /// Number of running and waiting requests for each slot.
   double pressure() const {
     return static_cast<double>(m_Running + m_Waiting) / m_Slots;
   }
-  /// The same with those that were refused; what placement goes by, since
-  /// refusals keep the queue short however large the demand.
+  /// Offered load: the pressure with the refused requests. Placement uses it,
+  /// since refusals keep the queue short however large the demand is.
   double offered() const {
     return static_cast<double>(m_Running + m_Waiting + m_Refused) / m_Slots;
   }
   bool operator==(const UpstreamLoad &) const = default;
 };
 
+/// Start a request.
 struct StartRequest {
   RequestId m_Id;
-  Duration m_Waited = 0us;
+  Duration m_Waited = 0us; ///< Time that it spent in the queue.
 };
+/// Refuse a request.
 struct RefuseRequest {
   RequestId m_Id;
   Failure m_Failure;
 };
-/// What the owner does for waiting requests.
+/// What the owner has to do with a request.
 using AdmissionAction = std::variant<StartRequest, RefuseRequest>;
 using AdmissionActions = std::vector<AdmissionAction>;
 
-/// Slots and queue of one upstream.
+/// The slots and the queue of one upstream.
 class UpstreamAdmission {
 public:
   struct Options {
     int m_Slots = 1;
-    int m_MaxWaiting = 1000; ///< Bounds the memory of the queue.
-    FairQueue::WeightOf m_WeightOf;
-    /// Slots that a group above its share leaves free while another group that
-    /// was active lately is below its own. None on upstreams with few slots.
+    int m_MaxWaiting = 1000;        ///< Bounds the memory of the queue.
+    FairQueue::WeightOf m_WeightOf; ///< Must return positive weights.
+    /// Slots that a group above its share leaves free while another recently
+    /// active group is below its own share.
     int m_ReservedSlots = 1;
+    /// Upstreams with fewer slots reserve none.
     int m_MinSlotsToReserve = 4;
-    /// How long a group without requests still counts as active.
+    /// Time for which a group still counts as active after its last request.
     Duration m_ActiveFor = 30s;
-    /// Service time assumed before any was measured.
+    /// Mean service time that is assumed before the first request ends.
     Duration m_InitialServiceTime = 200ms;
   };
 
   explicit UpstreamAdmission(Options Opts);
 
-  /// A request arrives. The actions may start or refuse it, or leave it
-  /// waiting when they do not name it.
+  /// A request arrives. It waits if the actions neither start nor refuse it.
   AdmissionActions offer(QueuedRequest Request, TimePoint Now);
-  /// A started request ended; \p Cost is its measured cost.
+  /// A started request ended; \p Cost is its actual cost in tokens.
   AdmissionActions finished(const RequestId &Id, double Cost, TimePoint Now);
-  /// The caller left before the request was started, or while it ran.
+  /// The caller left while the request was waiting or running.
   AdmissionActions cancelled(const RequestId &Id, TimePoint Now);
-  /// Refuses each waiting request whose deadline can no longer be met.
+  /// Refuses each waiting request that cannot start by its deadline any more.
   AdmissionActions sweep(TimePoint Now);
 
-  /// Cost that \p Group was served by other owners.
+  /// Charges \p Group for cost that other owners served to it.
   void chargeElsewhere(const GroupName &Group, double Cost);
-  /// Cost served for each group since the last call.
+  /// Cost served to each group since the last call, in tokens.
   std::map<GroupName, double> takeServed();
 
+  /// The current load, for other boxes.
   UpstreamLoad load(TimePoint Now) const;
-  /// Expected wait of a request of \p Group that arrives now.
+  /// Expected time in the queue of a request of \p Group that arrives now.
   Duration expectedWait(const GroupName &Group) const;
 
 private:
   struct Running {
     GroupName m_Group;
-    double m_Estimate = 0;
+    double m_Estimate = 0; ///< Cost charged at the start.
     TimePoint m_Started;
   };
 
@@ -111,7 +115,7 @@
   std::map<GroupName, TimePoint> m_LastSeen;
   std::map<GroupName, double> m_Served;
   Duration m_MeanService;
-  double m_RefusedLoad = 0;
+  double m_RefusedLoad = 0; ///< Value at m_RefusedAt; decays.
   TimePoint m_RefusedAt;
 };
 
--- a/packages/decisions/request/UpstreamEligibility.cpp
+++ b/packages/decisions/request/UpstreamEligibility.cpp
@@ -5,9 +5,9 @@
 bool UpstreamEligibility::inForbiddenRegion(const InstanceId &Id) const {
   if (!m_Regions.restricted())
     return false;
-  const UpstreamInstance *At = m_View.find(Id);
-  return At == nullptr ||
-         !m_Regions.allows(m_Map.regionOf(DataCentreName(At->m_Zone)));
+  const UpstreamInstance *Upstream = m_View.find(Id);
+  return Upstream == nullptr ||
+         !m_Regions.allows(m_Map.regionOf(DataCentreName(Upstream->m_Zone)));
 }
 
 std::vector<const UpstreamInstance *> UpstreamEligibility::candidates(
--- a/packages/decisions/request/UpstreamEligibility.h
+++ b/packages/decisions/request/UpstreamEligibility.h
@@ -1,5 +1,5 @@
 /// \file
-/// The upstreams that may take one request. See docs/design/regions.md.
+/// The upstreams that may serve one request. See docs/design/regions.md.
 #ifndef HAVENSTAIR_DECISIONS_REQUEST_UPSTREAMELIGIBILITY_H
 #define HAVENSTAIR_DECISIONS_REQUEST_UPSTREAMELIGIBILITY_H
 
@@ -12,8 +12,8 @@
 
 namespace havenstair {
 
-/// What a box knows of the upstreams, as far as the request's regions go. Made
-/// for one decision; refers to what it is made from.
+/// Restricts a box's view of the upstreams to the regions that may serve a
+/// request. It is made for one decision and refers to its arguments.
 class UpstreamEligibility {
 public:
   UpstreamEligibility(const ServingView &View, const DataCentreMap &Map,
@@ -22,18 +22,21 @@
       : m_View(View), m_Map(Map), m_Regions(Regions), m_Service(Service),
         m_Request(Request) {}
 
-  /// Upstreams that can run it now, but for those that \p Excluded names.
+  /// Upstreams that can run the request now, without those for which
+  /// \p Excluded returns true.
   std::vector<const UpstreamInstance *>
   candidates(const std::function<bool(const InstanceId &)> &Excluded,
              TimePoint Now) const;
-  /// Whether any could run it now, or after a load.
+  /// Whether any upstream could run the request now, or after loading its
+  /// model.
   bool any() const;
-  /// When the next load of its model is expected to serve; none when none is
-  /// under way.
+  /// When the next load of the request's model is expected to serve; empty when
+  /// no load is in progress.
   std::optional<TimePoint> servesAt(TimePoint Now) const;
 
 private:
-  /// Whether \p Id is in a region that may not serve the request.
+  /// Whether \p Id is in a region that may not serve the request, or unknown
+  /// while regions are restricted.
   bool inForbiddenRegion(const InstanceId &Id) const;
 
   const ServingView &m_View;
--- a/packages/decisions/version/Assignment.cpp
+++ b/packages/decisions/version/Assignment.cpp
@@ -9,8 +9,8 @@
 
 using Counts = std::map<BoxName, int>;
 
-/// The box with the fewest; ties by rendezvous hash, so that boxes with equal
-/// counts do not all pile up on the first name.
+/// The box that owns the fewest items. Rendezvous hashing decides between equal
+/// ones, so that items do not all go to the box with the first name.
 BoxName leastLoaded(const Counts &Owned, const std::string &Key) {
   const auto Fewest = std::min_element(
       Owned.begin(), Owned.end(),
@@ -22,15 +22,15 @@
   return *rendezvousPick(Ties, Key);
 }
 
-/// One thing to own: its name and its owner so far.
+/// An upstream or a slice of keys, with its current owner.
 struct Item {
   std::string m_Key;
   BoxName m_Owner;
 };
 
-/// Moves single items from the most to the least loaded box until the counts
-/// differ by at most one. Taking from any other box would move more than
-/// needed.
+/// Moves single items from the box with the most to the box with the fewest
+/// until the counts differ by at most one. Taking items from any other box
+/// would move more of them than needed.
 void evenOut(std::vector<Item> &Items, Counts &Owned) {
   const auto ByCount = [](const auto &A, const auto &B) {
     return A.second < B.second;
@@ -41,8 +41,8 @@
     if (Most->second <= Fewest->second + 1)
       return;
     const auto Moved =
-        std::find_if(Items.begin(), Items.end(), [&](const Item &Each) {
-          return Each.m_Owner == Most->first;
+        std::find_if(Items.begin(), Items.end(), [&](const Item &Assigned) {
+          return Assigned.m_Owner == Most->first;
         });
     Moved->m_Owner = Fewest->first;
     --Most->second;
@@ -50,20 +50,20 @@
   }
 }
 
-/// Gives items without a live owner to the least loaded boxes, then evens the
-/// counts out.
+/// Assigns items without a live owner to the boxes with the fewest, then evens
+/// out the counts.
 void balance(std::vector<Item> &Items, const std::vector<BoxName> &Live) {
   Counts Owned;
   for (const BoxName &Box : Live)
     Owned[Box] = 0;
-  for (const Item &Each : Items)
-    if (const auto Found = Owned.find(Each.m_Owner); Found != Owned.end())
+  for (const Item &Assigned : Items)
+    if (const auto Found = Owned.find(Assigned.m_Owner); Found != Owned.end())
       ++Found->second;
-  for (Item &Each : Items) {
-    if (Owned.count(Each.m_Owner) != 0)
+  for (Item &Assigned : Items) {
+    if (Owned.count(Assigned.m_Owner) != 0)
       continue;
-    Each.m_Owner = leastLoaded(Owned, Each.m_Key);
-    ++Owned[Each.m_Owner];
+    Assigned.m_Owner = leastLoaded(Owned, Assigned.m_Key);
+    ++Owned[Assigned.m_Owner];
   }
   evenOut(Items, Owned);
 }
@@ -84,10 +84,10 @@
   return static_cast<int>(std::distance(m_OwnerOf.begin(), Found));
 }
 
-std::optional<UpstreamName> Assignment::upstreamAt(int Place) const {
-  if (Place < 0 || Place >= static_cast<int>(m_OwnerOf.size()))
+std::optional<UpstreamName> Assignment::upstreamAt(int Index) const {
+  if (Index < 0 || Index >= static_cast<int>(m_OwnerOf.size()))
     return std::nullopt;
-  return std::next(m_OwnerOf.begin(), Place)->first;
+  return std::next(m_OwnerOf.begin(), Index)->first;
 }
 
 std::optional<BoxName> Assignment::ownerOfSlice(int Slice) const {
@@ -122,8 +122,8 @@
   Assignment Next;
   Next.m_Version = Current.m_Version + 1;
   Next.m_Boxes = std::move(Live);
-  for (Item &Each : Owned)
-    Next.m_OwnerOf[UpstreamName(Each.m_Key)] = Each.m_Owner;
+  for (Item &Assigned : Owned)
+    Next.m_OwnerOf[UpstreamName(Assigned.m_Key)] = Assigned.m_Owner;
   for (std::size_t Slice = 0; Slice < Slices.size(); ++Slice) {
     const bool Kept =
         Current.ownerOfSlice(static_cast<int>(Slice)) == Slices[Slice].m_Owner;
--- a/packages/decisions/version/Organisation.cpp
+++ b/packages/decisions/version/Organisation.cpp
@@ -2,10 +2,10 @@
 
 namespace havenstair {
 
-double Quota::costOf(bool TokensTold, double Tokens) const {
+double Quota::costOf(bool HasTokenCounts, double Tokens) const {
   if (m_Unit == QuotaUnit::Requests)
     return 1;
-  return TokensTold ? Tokens : m_DefaultTokens;
+  return HasTokenCounts ? Tokens : m_DefaultTokens;
 }
 
 } // namespace havenstair
--- a/packages/decisions/version/ServingConfig.cpp
+++ b/packages/decisions/version/ServingConfig.cpp
@@ -15,13 +15,13 @@
 const Route *ServingConfig::route(std::string_view Host,
                                   std::string_view Path) const {
   const Route *Best = nullptr;
-  for (const Route &Each : m_Routes) {
-    const bool Fits =
-        Each.m_Host == Host && Path.starts_with(Each.m_PathPrefix);
-    const bool Longer =
-        Best == nullptr || Each.m_PathPrefix.size() > Best->m_PathPrefix.size();
-    if (Fits && Longer)
-      Best = &Each;
+  for (const Route &Candidate : m_Routes) {
+    const bool Matches =
+        Candidate.m_Host == Host && Path.starts_with(Candidate.m_PathPrefix);
+    const bool Longer = Best == nullptr || Candidate.m_PathPrefix.size() >
+                                               Best->m_PathPrefix.size();
+    if (Matches && Longer)
+      Best = &Candidate;
   }
   return Best;
 }
@@ -43,10 +43,10 @@
 void ServingConfig::indexOrganisations() {
   m_KeyIndex.clear();
   m_OrganisationPriorities.clear();
-  for (std::size_t Place = 0; Place < m_Organisations.size(); ++Place) {
-    m_OrganisationPriorities.insert(m_Organisations[Place].m_Priority);
-    for (const KeyHash &Key : m_Organisations[Place].m_Keys)
-      m_KeyIndex.try_emplace(Key, Place);
+  for (std::size_t Index = 0; Index < m_Organisations.size(); ++Index) {
+    m_OrganisationPriorities.insert(m_Organisations[Index].m_Priority);
+    for (const KeyHash &Key : m_Organisations[Index].m_Keys)
+      m_KeyIndex.try_emplace(Key, Index);
   }
 }
 
@@ -65,19 +65,20 @@
   return Found == m_KeyIndex.end() ? nullptr : &m_Organisations[Found->second];
 }
 
-const std::string &chooseSplit(const Route &Of, std::string_view Id) {
+const std::string &chooseSplit(const Route &MatchedRoute, std::string_view Id) {
   double Sum = 0;
-  for (const SplitShare &Each : Of.m_Split)
-    Sum += Each.m_Weight;
+  for (const SplitShare &Share : MatchedRoute.m_Split)
+    Sum += Share.m_Weight;
   constexpr double Parts = 1 << 20;
-  const auto Drawn = static_cast<double>(stableHash(Id, Of.m_Name) % (1 << 20));
+  const auto Drawn =
+      static_cast<double>(stableHash(Id, MatchedRoute.m_Name) % (1 << 20));
   double Left = Drawn / Parts * Sum;
-  for (const SplitShare &Each : Of.m_Split) {
-    Left -= Each.m_Weight;
+  for (const SplitShare &Share : MatchedRoute.m_Split) {
+    Left -= Share.m_Weight;
     if (Left < 0)
-      return Each.m_Service;
+      return Share.m_Service;
   }
-  return Of.m_Split.back().m_Service;
+  return MatchedRoute.m_Split.back().m_Service;
 }
 
 } // namespace havenstair
--- a/packages/decisions/version/ServingConfig.h
+++ b/packages/decisions/version/ServingConfig.h
@@ -16,38 +16,40 @@
 
 namespace havenstair {
 
-/// Versions of the configuration only ever rise, in uneven steps.
+/// Version of the configuration. It only grows, in steps of any size.
 using ConfigVersion = std::uint64_t;
 
-/// What may be repeated on a route.
+/// Whether requests of a route may be repeated.
 enum class RouteKind {
   Safe,   ///< May run more than once.
-  Unsafe, ///< Runs at most once for each attempt of a caller.
-  Stream  ///< A series of events; unsafe unless it may be resumed.
+  Unsafe, ///< Must run at most once for each attempt of a caller.
+  Stream  ///< Answers with a stream of events; unsafe unless resumable.
 };
 
-/// A service of a split with its part of the requests.
+/// A service with its share of the requests of a route.
 struct SplitShare {
   std::string m_Service;
-  double m_Weight = 1;
+  double m_Weight = 1; ///< Its share is its weight over the sum of all.
 
   bool operator==(const SplitShare &) const = default;
 };
 
-/// Where requests of one host and path prefix go.
+/// A route: the requests with one host and path prefix, and how they are
+/// served.
 struct Route {
   std::string m_Name;
   std::string m_Host;
   std::string m_PathPrefix;
   RouteKind m_Kind = RouteKind::Unsafe;
-  Duration m_Timeout = 30s; ///< Longest time that a request is held.
-  Duration m_Target = 1s;   ///< Time to the answer or first event.
+  Duration m_Timeout = 30s; ///< Longest time that a request may be in progress.
+  Duration m_Target = 1s;   ///< Target time to the answer or first event.
+  /// Longest pause between events of a stream; 0 for no target.
   Duration m_GapTarget = 0us;
-  int m_Priority = 0; ///< 0 is the most urgent.
-  int m_MaxAttempts = 1;
-  bool m_Resumable = false;
-  bool m_Public = false;           ///< Needs no key.
-  std::vector<SplitShare> m_Split; ///< At least one.
+  int m_Priority = 0;              ///< 0 is the most urgent.
+  int m_MaxAttempts = 1;           ///< Sends of one request to upstreams.
+  bool m_Resumable = false;        ///< Its streams may be resumed.
+  bool m_Public = false;           ///< Callers need no key.
+  std::vector<SplitShare> m_Split; ///< At least one service.
   /// Regions that may serve and see its requests; empty for all.
   std::set<RegionName> m_AllowedRegions;
 
@@ -60,45 +62,47 @@
   }
 };
 
-/// A model that the engines of a service may hold. Sizes are in MB.
+/// A model that the engines of a service may load. Sizes are in MB.
 struct ModelSpec {
   std::string m_Name;
   double m_SizeMb = 0;
-  Duration m_StoreLoad = 0us;  ///< Load from the store of weights.
-  Duration m_DiskLoad = 0us;   ///< Load from the engine's own disk.
-  Duration m_MemoryLoad = 0us; ///< Load from the engine's host memory.
-  int m_Adapters = 0;
-  double m_AdapterMb = 0;
+  Duration m_StoreLoad = 0us;  ///< Time to load from the store of weights.
+  Duration m_DiskLoad = 0us;   ///< Time to load from the engine's disk.
+  Duration m_MemoryLoad = 0us; ///< Time to load from the engine's host memory.
+  int m_Adapters = 0;          ///< Number of its adapters.
+  double m_AdapterMb = 0;      ///< Size of each.
 
   bool operator==(const ModelSpec &) const = default;
 };
 
-/// What the engines of a service can hold.
+/// The capacity of each engine of a service.
 struct EngineSpec {
-  int m_Slots = 1;
-  double m_KvTokens = 0;
-  double m_WeightsMb = 0; ///< Room for weights and adapters together.
-  int m_AdapterCapacity = 0;
-  double m_LoadsPerSecond = 0; ///< From the store of weights, over all engines.
+  int m_Slots = 1;           ///< Requests that run at once.
+  double m_KvTokens = 0;     ///< Size of the KV cache.
+  double m_WeightsMb = 0;    ///< Memory for weights and adapters together.
+  int m_AdapterCapacity = 0; ///< Most adapters that are loaded at once.
+  /// Limit of loads from the store of weights, over all engines.
+  double m_LoadsPerSecond = 0;
   std::vector<ModelSpec> m_Models;
 
   bool operator==(const EngineSpec &) const = default;
 
+  /// The model called \p Name; null without one.
   const ModelSpec *model(std::string_view Name) const;
 };
 
-/// A service behind the system; with engines, or plain.
+/// A service that requests are sent to: of model engines, or plain.
 struct ServiceSpec {
   std::string m_Name;
   std::string m_HealthPath;
   int m_ConnectionLimit = 0;
   WarmUpSpec m_WarmUp;
-  std::optional<EngineSpec> m_Engine;
+  std::optional<EngineSpec> m_Engine; ///< Empty for a plain service.
 
   bool operator==(const ServiceSpec &) const = default;
 };
 
-/// Bounds on what callers send.
+/// Limits on the connections and requests of callers.
 struct CallerLimits {
   std::size_t m_HeaderBytes = 16 << 10;
   std::size_t m_BodyBytes = 4 << 20;
@@ -108,41 +112,45 @@
   bool operator==(const CallerLimits &) const = default;
 };
 
-/// A whole version. Routes are matched by longest prefix of their host.
+/// One version of the configuration. A request matches the route of its host
+/// with the longest path prefix.
 struct ServingConfig {
   ConfigVersion m_Version = 0;
   std::vector<Route> m_Routes;
   std::vector<ServiceSpec> m_Services;
   CallerLimits m_Limits;
-  /// Without any, callers need no key.
+  /// If empty, callers need no key.
   std::vector<Organisation> m_Organisations;
-  /// Place among the organisations by key; made by
-  /// indexOrganisations().
+  /// Index into m_Organisations by key; built by indexOrganisations().
   std::unordered_map<KeyHash, std::size_t> m_KeyIndex;
-  /// The priorities that organisations have, the most urgent first; made with
-  /// the index.
+  /// The different priorities of the organisations, the most urgent first;
+  /// built by indexOrganisations().
   std::set<int> m_OrganisationPriorities;
 
   bool operator==(const ServingConfig &) const = default;
 
-  /// The route of \p Host with the longest prefix of \p Path; null without
-  /// one.
+  /// The route of \p Host with the longest prefix of \p Path; null if none
+  /// matches.
   const Route *route(std::string_view Host, std::string_view Path) const;
-  /// Requests that one engine of \p Service runs at once; 1 without engines.
+  /// Requests that one engine of \p Service runs at once; 1 for a plain or
+  /// unknown service.
   int slotsOf(std::string_view Service) const;
+  /// The service called \p Name; null without one.
   const ServiceSpec *service(std::string_view Name) const;
-  /// Of all models; empty without any.
+  /// The shortest time to load any model from the store of weights; empty
+  /// without models.
   std::optional<Duration> shortestStoreLoad() const;
-  /// The organisation with \p Key; null without one, and before
+  /// The organisation that has \p Key; null without one, and before
   /// indexOrganisations().
   const Organisation *organisationFor(const KeyHash &Key) const;
-  /// To be called when the organisations are complete. A key that two of them
-  /// have belongs to the first.
+  /// Builds the indexes; to be called when the organisations are complete. A
+  /// key that two of them have belongs to the first.
   void indexOrganisations();
 };
 
-/// The service of \p Of for the request \p Id: each box draws the same one.
-const std::string &chooseSplit(const Route &Of, std::string_view Id);
+/// Draws the service for the request \p Id from the split of \p MatchedRoute,
+/// the same on all boxes.
+const std::string &chooseSplit(const Route &MatchedRoute, std::string_view Id);
 
 } // namespace havenstair
 
--- a/packages/decisions/version/Table.cpp
+++ b/packages/decisions/version/Table.cpp
@@ -33,7 +33,7 @@
 
 std::optional<TableProblem> checkNumbers(const GroupRow &Row) {
   const GroupLimits &Limits = Row.m_Limits;
-  // Written so that a value that is not a number fails too.
+  // The negated conditions reject NaN too.
   if (!(Row.m_Weight > 0 && Row.m_Weight <= LargestWeight))
     return TableProblem{"weight", "must be above 0 and at most 1000000"};
   if (!(Limits.m_RequestsPerSecond >= 0 &&
@@ -76,8 +76,8 @@
   return std::nullopt;
 }
 
-/// Memory of a model together with those of its adapters that are
-/// callableArtifacts: they must lie on the same engine.
+/// Memory that each model needs together with its callable adapters, which must
+/// be on the same engine.
 std::map<ArtifactName, MemoryMiB>
 memoryByModel(const std::set<ArtifactName> &Callable, const Catalogue &Models) {
   std::map<ArtifactName, MemoryMiB> Sizes;
@@ -95,8 +95,8 @@
   return Sizes;
 }
 
-/// First-fit decreasing: one copy of each callableArtifacts model must find
-/// room.
+/// Checks by first-fit decreasing that one copy of each callable model fits
+/// into the engines' memory.
 std::optional<TableProblem> checkFits(const std::set<ArtifactName> &Callable,
                                       const Catalogue &Models,
                                       const Capacity &Engines) {
@@ -104,15 +104,16 @@
   for (const auto &[Name, Size] : memoryByModel(Callable, Models))
     Items.emplace_back(Size, Name);
   std::sort(Items.rbegin(), Items.rend());
-  std::vector<MemoryMiB> Room = Engines.m_Engines;
+  std::vector<MemoryMiB> Free = Engines.m_Engines;
   for (const auto &[Size, Name] : Items) {
-    const auto Place = std::find_if(Room.begin(), Room.end(),
-                                    [S = Size](MemoryMiB R) { return R >= S; });
-    if (Place == Room.end())
+    const auto Engine = std::find_if(
+        Free.begin(), Free.end(),
+        [Needed = Size](MemoryMiB Memory) { return Memory >= Needed; });
+    if (Engine == Free.end())
       return TableProblem{"models", "no accelerator memory is left for " +
                                         Name.str() + " (" +
                                         std::to_string(Size) + " MiB)"};
-    *Place -= Size;
+    *Engine -= Size;
   }
   return std::nullopt;
 }
--- a/tests/decisions/common/DataCentreMapTest.cpp
+++ b/tests/decisions/common/DataCentreMapTest.cpp
@@ -4,8 +4,7 @@
 
 namespace havenstair {
 
-TEST_CASE("A data centre has the region that the map names, or none",
-          "[regions]") {
+TEST_CASE("A data centre that is not on the map has no region", "[regions]") {
   const DataCentreName North("north-a");
   const DataCentreName South("south-a");
   const DataCentreMap Map(
--- a/tests/decisions/request/AllowedRegionsTest.cpp
+++ b/tests/decisions/request/AllowedRegionsTest.cpp
@@ -10,17 +10,18 @@
 const RegionName North("north"), South("south"), West("west");
 
 AllowedRegions both(const Regions &ByRoute, const Regions &ByOrganisation) {
-  Route Of;
-  Of.m_AllowedRegions = ByRoute;
+  Route MatchedRoute;
+  MatchedRoute.m_AllowedRegions = ByRoute;
   Organisation Caller;
   Caller.m_AllowedRegions = ByOrganisation;
-  return {Of, &Caller};
+  return {MatchedRoute, &Caller};
 }
 
 } // namespace
 
 TEST_CASE(
-    "Without named regions all are allowed, also data centres without one",
+    "Where no regions are named, all are allowed, and so are data centres "
+    "without one",
     "[regions]") {
   const AllowedRegions All = both({}, {});
   REQUIRE_FALSE(All.restricted());
@@ -29,7 +30,9 @@
   REQUIRE(All == AllowedRegions(Route(), nullptr));
 }
 
-TEST_CASE("Where one side names no regions the other one binds", "[regions]") {
+TEST_CASE(
+    "Where the route or the organisation names no regions, the other decides",
+    "[regions]") {
   const AllowedRegions One =
       GENERATE(both({North}, {}), both({}, {North}), both({North}, {North}));
   REQUIRE(One.allows(North));
@@ -38,13 +41,13 @@
 }
 
 TEST_CASE(
-    "A data centre without a region is never allowed where some are named",
+    "A data centre without a region is not allowed where regions are named",
     "[regions]") {
   REQUIRE_FALSE(both({North}, {}).allows(RegionName()));
   REQUIRE_FALSE(both({RegionName(), North}, {}).allows(RegionName()));
 }
 
-TEST_CASE("Route and organisation without a common region allow none",
+TEST_CASE("Route and organisation without a common region allow no region",
           "[regions]") {
   const AllowedRegions None = both({North, West}, {South});
   REQUIRE(None.allowsNone());
@@ -52,21 +55,22 @@
   REQUIRE(both({North, South}, {South, West}).text() == "south");
 }
 
-TEST_CASE("Both bind, whatever they name", "[regions][property]") {
-  const auto AnyRegions = [] {
+TEST_CASE("A region is allowed only if route and organisation both allow it",
+          "[regions][property]") {
+  const auto DrawnRegions = [] {
     Regions Result;
-    for (const RegionName &Each : {North, South, West})
+    for (const RegionName &Region : {North, South, West})
       if (*rc::gen::arbitrary<bool>())
-        Result.insert(Each);
+        Result.insert(Region);
     return Result;
   };
   rc::prop("allowed only by each side that names regions", [&] {
-    const Regions ByRoute = AnyRegions();
-    const Regions ByOrganisation = AnyRegions();
+    const Regions ByRoute = DrawnRegions();
+    const Regions ByOrganisation = DrawnRegions();
     const AllowedRegions Both = both(ByRoute, ByOrganisation);
-    for (const RegionName &Each : {North, South, West})
-      RC_ASSERT(Both.allows(Each) ==
-                ((ByRoute.empty() || ByRoute.contains(Each)) &&
-                 (ByOrganisation.empty() || ByOrganisation.contains(Each))));
+    for (const RegionName &Region : {North, South, West})
+      RC_ASSERT(Both.allows(Region) ==
+                ((ByRoute.empty() || ByRoute.contains(Region)) &&
+                 (ByOrganisation.empty() || ByOrganisation.contains(Region))));
   });
 }
--- a/tests/decisions/request/CallerIdentityTest.cpp
+++ b/tests/decisions/request/CallerIdentityTest.cpp
@@ -40,8 +40,7 @@
           ErrorKind::UnknownKey);
 }
 
-TEST_CASE("A public route asks for no key, and refuses one that nobody has",
-          "[keys]") {
+TEST_CASE("A public route needs no key, and refuses an unknown one", "[keys]") {
   const ServingConfig Config =
       configOf({{.m_Name = "gym", .m_Keys = {{"h1"}}}});
   Route Public;
@@ -52,13 +51,13 @@
           ErrorKind::UnknownKey);
 }
 
-TEST_CASE("Without organisations nobody needs a key", "[keys]") {
+TEST_CASE("Without organisations no request needs a key", "[keys]") {
   const ServingConfig Config = configOf({});
   REQUIRE(identifyCaller(Config, {}, NoKey) == CallerIdentity{});
   REQUIRE(identifyCaller(Config, {}, key("h1")) == CallerIdentity{});
 }
 
-TEST_CASE("A quota counts requests, or tokens that are told or assumed",
+TEST_CASE("A quota counts requests, or the tokens that are stated or assumed",
           "[quota]") {
   const Quota Requests{.m_Unit = QuotaUnit::Requests, .m_RatePerSecond = 5};
   REQUIRE(Requests.costOf(true, 900) == 1);
--- a/tests/decisions/request/EnginePriorityTest.cpp
+++ b/tests/decisions/request/EnginePriorityTest.cpp
@@ -15,18 +15,20 @@
 
 } // namespace
 
-TEST_CASE("Where all organisations are alike, routes decide", "[priority]") {
+TEST_CASE("Among organisations of equal priority, the route decides",
+          "[priority]") {
   ServingConfig Config;
   Config.m_Organisations = {{.m_Name = "a", .m_Priority = 1},
                             {.m_Name = "b", .m_Priority = 1}};
   Config.indexOrganisations();
-  const Organisation *Of = &Config.m_Organisations[0];
-  REQUIRE(enginePriority(Config, route(0, 1s), Of) == 3);
-  REQUIRE(enginePriority(Config, route(1, 4s), Of) == 6);
+  const Organisation *Caller = &Config.m_Organisations[0];
+  REQUIRE(enginePriority(Config, route(0, 1s), Caller) == 3);
+  REQUIRE(enginePriority(Config, route(1, 4s), Caller) == 6);
   REQUIRE(enginePriority(Config, route(1, 4s), nullptr) == 6);
 }
 
-TEST_CASE("An organisation's priority goes before the route's", "[priority]") {
+TEST_CASE("An organisation's priority takes precedence over the route's",
+          "[priority]") {
   ServingConfig Config;
   const int Ranks = GENERATE(2, 3, 5);
   for (int Rank = 0; Rank < Ranks; ++Rank)
--- a/tests/decisions/request/ErrorKindTest.cpp
+++ b/tests/decisions/request/ErrorKindTest.cpp
@@ -5,7 +5,8 @@
 
 using namespace havenstair;
 
-TEST_CASE("Each error kind has a code of its own and a status", "[errors]") {
+TEST_CASE("Each error kind has a distinct code and an HTTP error status",
+          "[errors]") {
   std::set<std::string_view> Codes;
   for (int Index = 0; Index < ErrorKindCount; ++Index) {
     const auto Kind = static_cast<ErrorKind>(Index);
@@ -17,7 +18,8 @@
   REQUIRE_FALSE(errorKindFromCode("no_such_code"));
 }
 
-TEST_CASE("Only what was not run may be sent again", "[errors]") {
+TEST_CASE("Only an error whose request was not run has a Retry-After",
+          "[errors]") {
   for (int Index = 0; Index < ErrorKindCount; ++Index) {
     const ErrorAnswer &Answer = answerFor(static_cast<ErrorKind>(Index));
     if (Answer.m_HasRetryAfter)
@@ -25,7 +27,8 @@
   }
 }
 
-TEST_CASE("Kinds and rows of the table stand in the same order", "[errors]") {
+TEST_CASE("Error kinds and the rows of their table are in the same order",
+          "[errors]") {
   REQUIRE(answerFor(ErrorKind::MissingKey).m_Code == "missing_key");
   REQUIRE(answerFor(ErrorKind::RateLimited).m_Code == "rate_limited");
   REQUIRE(answerFor(ErrorKind::OwnerLost).m_Code == "owner_lost");
--- a/tests/decisions/request/FairQueueTest.cpp
+++ b/tests/decisions/request/FairQueueTest.cpp
@@ -32,7 +32,7 @@
   REQUIRE(Served[groupName(2)] == 30);
 }
 
-TEST_CASE("A group that comes back gets its share at once, and no credit",
+TEST_CASE("A group that was idle gets its share at once, and no credit",
           "[fairness]") {
   FairQueue Queue({.m_WeightOf = [](const GroupName &) { return 1.0; }});
   for (int Id = 0; Id < 100; ++Id)
@@ -41,14 +41,14 @@
     Queue.pop();
   for (int Id = 100; Id < 150; ++Id)
     Queue.push(request(Id, 1, 10));
-  int Back = 0;
+  int Returned = 0;
   for (int Count = 0; Count < 20; ++Count)
-    Back += Queue.pop()->m_Group == groupName(1) ? 1 : 0;
-  REQUIRE(Back >= 9);
-  REQUIRE(Back <= 11);
+    Returned += Queue.pop()->m_Group == groupName(1) ? 1 : 0;
+  REQUIRE(Returned >= 9);
+  REQUIRE(Returned <= 11);
 }
 
-TEST_CASE("Higher priority runs first within its group only", "[fairness]") {
+TEST_CASE("Higher priority runs first within a group only", "[fairness]") {
   FairQueue Queue({.m_WeightOf = [](const GroupName &) { return 1.0; }});
   Queue.push(request(1, 0, 10));
   QueuedRequest Urgent = request(2, 0, 10);
@@ -60,7 +60,7 @@
   REQUIRE(Queue.pop()->m_Id == requestId(1));
 }
 
-TEST_CASE("The fairness gap is one largest request of each group",
+TEST_CASE("Backlogged groups grow apart by at most one largest request of each",
           "[fairness][proof]") {
   const std::string Point = "5 fairness, gap between backlogged groups";
   rc::prop(Point, [&] {
@@ -73,7 +73,7 @@
         Queue.push(request(++Id, Group, Cost));
     std::map<GroupName, double> Served;
     std::uint64_t Violations = 0;
-    // While all groups have work; each has at least 60 requests.
+    // All groups stay backlogged: each has at least 60 requests.
     for (int Count = 0; Count < 60; ++Count) {
       const QueuedRequest Next = *Queue.pop();
       Served[Next.m_Group] += Next.m_Cost / weight(Next.m_Group);
@@ -90,7 +90,8 @@
   });
 }
 
-TEST_CASE("Cost served elsewhere counts against a group", "[fairness]") {
+TEST_CASE("A group is charged for cost that other upstreams served to it",
+          "[fairness]") {
   FairQueue Queue({.m_WeightOf = [](const GroupName &) { return 1.0; }});
   for (int Id = 0; Id < 40; ++Id)
     Queue.push(request(Id, Id % 2, 10));
--- a/tests/decisions/request/ForwardingPolicyTest.cpp
+++ b/tests/decisions/request/ForwardingPolicyTest.cpp
@@ -25,8 +25,9 @@
 
 } // namespace
 
-TEST_CASE("What may run once is never repeated after it may have run",
-          "[forwarding][property]") {
+TEST_CASE(
+    "A request that is not idempotent is not repeated once it may have run",
+    "[forwarding][property]") {
   rc::prop("at most once", [] {
     ForwardingFacts Facts = drawnFacts();
     Facts.m_Idempotent = Facts.m_Resumable = false;
@@ -36,8 +37,9 @@
   });
 }
 
-TEST_CASE("A refusal is a promise: it is given only when nothing has run",
-          "[forwarding][property]") {
+TEST_CASE(
+    "A request is refused only if it was not run, as a caller may repeat it",
+    "[forwarding][property]") {
   rc::prop("refused means not run", [] {
     ForwardingFacts Facts = drawnFacts();
     const SendOutcome Outcome = drawnOutcome();
@@ -48,8 +50,9 @@
   });
 }
 
-TEST_CASE("Sends stay within the route's attempts, the budget and the time",
-          "[forwarding][property]") {
+TEST_CASE(
+    "Sends stay within the route's attempts, the retry budget and the deadline",
+    "[forwarding][property]") {
   rc::prop("bounded", [] {
     const ForwardingFacts Facts = drawnFacts();
     const SendOutcome Outcome = drawnOutcome();
@@ -63,7 +66,8 @@
   });
 }
 
-TEST_CASE("Once a caller has bytes, only its own stream may go on",
+TEST_CASE("Once a caller has got bytes, its stream is resumed or cut, never "
+          "restarted",
           "[forwarding][property]") {
   rc::prop("resume or cut", [] {
     ForwardingFacts Facts = drawnFacts();
@@ -78,7 +82,8 @@
   });
 }
 
-TEST_CASE("An upstream's failure goes to the caller as it is", "[forwarding]") {
+TEST_CASE("A failure that an upstream answers goes to the caller unchanged",
+          "[forwarding]") {
   ForwardingFacts Facts{.m_Sends = 1, .m_MaxSends = 1};
   REQUIRE(nextStep(SendOutcome::ServerError, Facts, true) ==
           ForwardingStep::PassOn);
--- a/tests/decisions/request/PromptPacingTest.cpp
+++ b/tests/decisions/request/PromptPacingTest.cpp
@@ -15,25 +15,28 @@
 
 } // namespace
 
-TEST_CASE("A prompt is read at once where little is to be read", "[pace]") {
+TEST_CASE("A prompt is sent at once where little prompt work is pending",
+          "[pace]") {
   REQUIRE_FALSE(pacingDelay(facts(0), {}));
   REQUIRE_FALSE(pacingDelay(facts(60), {}));
 }
 
-TEST_CASE("A prompt waits behind others that would pause streams for too long",
-          "[pace]") {
+TEST_CASE(
+    "A prompt waits while pending prompts would pause streams for too long",
+    "[pace]") {
   REQUIRE(pacingDelay(facts(200), {}));
 }
 
-TEST_CASE("A prompt does not wait where no pause matters", "[pace]") {
-  PacingFacts Any = facts(200);
-  Any.m_GapTarget = 0us;
-  REQUIRE_FALSE(pacingDelay(Any, {}));
+TEST_CASE("A prompt does not wait where the route does not limit pauses",
+          "[pace]") {
+  PacingFacts NoLimit = facts(200);
+  NoLimit.m_GapTarget = 0us;
+  REQUIRE_FALSE(pacingDelay(NoLimit, {}));
 }
 
-TEST_CASE("A prompt that was looked at often enough is sent in time",
+TEST_CASE("A prompt waits no longer than its fraction of the target",
           "[pace][property]") {
-  rc::prop("ends within its part of the target", [] {
+  rc::prop("ends within its fraction of the target", [] {
     PacingFacts Facts = facts(*drawn(0, 5000));
     Facts.m_Target = std::chrono::milliseconds(*drawn(50, 5000));
     const PacingOptions Opts;
--- a/tests/decisions/request/ReplicaAdmissionTest.cpp
+++ b/tests/decisions/request/ReplicaAdmissionTest.cpp
@@ -17,45 +17,45 @@
   return {.m_Target = 5s, .m_TimeLeft = 12s, .m_Start = std::nullopt};
 }
 
-AdmissionDecision judged(const AdmissionFacts &Facts) {
+AdmissionDecision decisionOn(const AdmissionFacts &Facts) {
   return admit(Facts, {}, 0.5);
 }
 
 bool sent(const AdmissionFacts &Facts) {
-  return judged(Facts).m_Step == AdmissionStep::Send;
+  return decisionOn(Facts).m_Step == AdmissionStep::Send;
 }
 
 bool refused(const AdmissionFacts &Facts) {
-  return judged(Facts).m_Step == AdmissionStep::Refuse;
+  return decisionOn(Facts).m_Step == AdmissionStep::Refuse;
 }
 
 } // namespace
 
-TEST_CASE("A request that comes in time is sent", "[admission]") {
+TEST_CASE("A request that will meet its target is sent", "[admission]") {
   REQUIRE(sent(facts(300, 100)));
 }
 
-TEST_CASE("A request behind too much work is told when to come back",
+TEST_CASE("A request behind too much work is refused with a retry time",
           "[admission]") {
-  const AdmissionDecision Decision = judged(facts(1500, 100));
+  const AdmissionDecision Decision = decisionOn(facts(1500, 100));
   REQUIRE(Decision.m_Step == AdmissionStep::Refuse);
   REQUIRE(Decision.m_Delay > 0us);
 }
 
-TEST_CASE("A refused caller is told when the next replica serves",
+TEST_CASE("The retry time is when the next replica serves, if that is known",
           "[admission]") {
   AdmissionFacts Facts = facts(1500, 100);
-  SECTION("a load is under way") {
+  SECTION("a load is in progress") {
     Facts.m_ServesIn = 600ms;
-    REQUIRE(judged(Facts).m_Delay >= 600ms);
-    REQUIRE(judged(Facts).m_Delay <= 900ms);
+    REQUIRE(decisionOn(Facts).m_Delay >= 600ms);
+    REQUIRE(decisionOn(Facts).m_Delay <= 900ms);
   }
-  SECTION("nothing is known, and callers wait for a third of their time") {
+  SECTION("nothing is known, and callers wait for a third of their time left") {
     Facts.m_TimeLeft = 12s;
-    REQUIRE(judged(Facts).m_Delay >= 3s);
-    REQUIRE(judged(Facts).m_Delay <= 4s);
+    REQUIRE(decisionOn(Facts).m_Delay >= 3s);
+    REQUIRE(decisionOn(Facts).m_Delay <= 4s);
   }
-  SECTION("those who come back do not come at once") {
+  SECTION("retries are spread") {
     Facts.m_ServesIn = 1s;
     REQUIRE(admit(Facts, {}, 0).m_Delay < admit(Facts, {}, 1).m_Delay);
   }
@@ -64,15 +64,16 @@
 TEST_CASE("A large request is not refused for its own size",
           "[admission][property]") {
   rc::prop("size-neutral", [] {
-    // As long as the caller is there when its first token comes.
+    // The bound keeps the first token within the caller's patience.
     const double Work = *drawn(1, 1000);
     RC_ASSERT(sent(facts(Work, Work)));
   });
 }
 
-TEST_CASE("The same chances get the same answer, however long it took",
+TEST_CASE("A request that has waited is decided on like one that has not",
           "[admission][property]") {
-  // No part of the target in which refusals would count as early.
+  // A rule that depended on the time waited would have windows of the target in
+  // which requests are refused that would be sent before or after.
   rc::prop("no windows", [] {
     AdmissionFacts Facts = facts(*drawn(1, 1200), 1);
     Facts.m_GapTarget = 600ms;
@@ -82,25 +83,25 @@
   });
 }
 
-TEST_CASE("The same rule holds for a caller's first try and for later ones",
+TEST_CASE("The same rule holds for a caller's first attempt and for retries",
           "[admission]") {
-  // Less time is left to a caller that comes back; nothing else differs.
-  AdmissionFacts Second = facts(1100, 100);
-  Second.m_TimeLeft = 3500ms;
-  REQUIRE(refused(Second));
-  REQUIRE(judged(Second).m_Reason == "overloaded");
-  Second.m_Start->m_FirstTokenMs = 700;
-  REQUIRE(sent(Second));
-  Second.m_Start->m_FirstTokenMs = 4000;
-  REQUIRE(refused(Second));
+  // A retry has less time left; nothing else differs.
+  AdmissionFacts Retry = facts(1100, 100);
+  Retry.m_TimeLeft = 3500ms;
+  REQUIRE(refused(Retry));
+  REQUIRE(decisionOn(Retry).m_Reason == "overloaded");
+  Retry.m_Start->m_FirstTokenMs = 700;
+  REQUIRE(sent(Retry));
+  Retry.m_Start->m_FirstTokenMs = 4000;
+  REQUIRE(refused(Retry));
 }
 
-TEST_CASE("A request waits for a load only while that can serve it",
+TEST_CASE("A request waits for a load only if the load can end in time for it",
           "[admission]") {
   AdmissionFacts Facts = withoutReplica();
   SECTION("the load ends in time") {
     Facts.m_ServesIn = 5500ms;
-    REQUIRE(judged(Facts) ==
+    REQUIRE(decisionOn(Facts) ==
             AdmissionDecision{AdmissionStep::Wait, 5500ms, "loads"});
   }
   SECTION("the caller will have left") {
@@ -108,16 +109,16 @@
     Facts.m_TimeLeft = 5s;
     REQUIRE(refused(Facts));
   }
-  SECTION("the caller takes silence for failure before") {
+  SECTION("the caller takes silence for a failure before that") {
     Facts.m_Target = 800ms;
     Facts.m_ServesIn = 5500ms;
     REQUIRE(refused(Facts));
   }
-  SECTION("whether one begins is not known yet") {
-    REQUIRE(judged(Facts).m_Step == AdmissionStep::Wait);
-    REQUIRE(judged(Facts).m_Delay < 1s);
+  SECTION("whether a load begins is not known yet") {
+    REQUIRE(decisionOn(Facts).m_Step == AdmissionStep::Wait);
+    REQUIRE(decisionOn(Facts).m_Delay < 1s);
   }
-  SECTION("none has begun") {
+  SECTION("no load has begun") {
     Facts.m_Waited = 1s;
     REQUIRE(refused(Facts));
   }
@@ -136,7 +137,7 @@
     Facts.m_Waited = std::chrono::milliseconds(*drawn(0, 20000));
     if (*rc::gen::arbitrary<bool>())
       Facts.m_ServesIn = std::chrono::milliseconds(*drawn(0, 20000));
-    const AdmissionDecision Decision = judged(Facts);
+    const AdmissionDecision Decision = decisionOn(Facts);
     RC_ASSERT(Decision.m_Step != AdmissionStep::Send);
     RC_ASSERT(Decision.m_Delay > 0us);
     if (Decision.m_Step == AdmissionStep::Wait)
--- a/tests/decisions/request/ReplicaChoiceTest.cpp
+++ b/tests/decisions/request/ReplicaChoiceTest.cpp
@@ -22,7 +22,7 @@
   return Result;
 }
 
-struct Books {
+struct UpstreamStats {
   LoadBook m_Loads;
   PrefixIndex m_Prefixes{1e6};
   LatencyModel m_Latency;
@@ -48,34 +48,37 @@
 
 } // namespace
 
-TEST_CASE("Nothing is chosen from nothing", "[choice]") {
-  REQUIRE_FALSE(Books().choose({}, prompt(0, 10)));
+TEST_CASE("Without candidates nothing is chosen", "[choice]") {
+  REQUIRE_FALSE(UpstreamStats().choose({}, prompt(0, 10)));
 }
 
 TEST_CASE("The upstream with less work ahead is chosen", "[choice]") {
-  Books Known;
+  UpstreamStats Stats;
   const auto A = engine("a"), B = engine("b");
-  Known.m_Loads.sent("a", 500, 100);
-  REQUIRE(Known.choose({&A, &B}, prompt(0, 100))->m_Instance == &B);
+  Stats.m_Loads.sent("a", 500, 100);
+  REQUIRE(Stats.choose({&A, &B}, prompt(0, 100))->m_Instance == &B);
 }
 
-TEST_CASE("What other boxes tell counts like what this box sent", "[choice]") {
-  Books Known;
+TEST_CASE("Load that other boxes report counts like load that this box sent",
+          "[choice]") {
+  UpstreamStats Stats;
   const auto A = engine("a"), B = engine("b");
-  Known.m_Loads.told(boxName(1), {{"a", {.m_Running = 1, .m_PendingMs = 500}}},
+  Stats.m_Loads.told(boxName(1), {{"a", {.m_Running = 1, .m_PendingMs = 500}}},
                      at(900ms));
-  REQUIRE(Known.choose({&A, &B}, prompt(0, 100))->m_Instance == &B);
+  REQUIRE(Stats.choose({&A, &B}, prompt(0, 100))->m_Instance == &B);
 }
 
-TEST_CASE("An engine that has read the shared parts is preferred", "[choice]") {
-  Books Known;
+TEST_CASE(
+    "An engine that has the shared parts in its prefix cache is preferred",
+    "[choice]") {
+  UpstreamStats Stats;
   const auto A = engine("a"), B = engine("b");
   const bool First = GENERATE(true, false);
-  const auto &Reader = First ? A : B;
+  const auto &Cached = First ? A : B;
   RequestDescriptor Earlier = prompt(8000, 10);
   Earlier.m_Prompt.back().m_Id = "other";
-  Known.m_Prefixes.noteRead(Reader.m_Id, Earlier);
-  REQUIRE(Known.choose({&A, &B}, prompt(8000, 1000))->m_Instance == &Reader);
+  Stats.m_Prefixes.noteRead(Cached.m_Id, Earlier);
+  REQUIRE(Stats.choose({&A, &B}, prompt(8000, 1000))->m_Instance == &Cached);
 }
 
 TEST_CASE("All boxes prefer the same engine for the same shared parts",
@@ -89,98 +92,102 @@
       Candidates.push_back(&Each);
     RequestDescriptor Request = prompt(9000, 100);
     Request.m_Prompt.front().m_Id = *rc::gen::arbitrary<std::string>();
-    const auto One = Books().choose(Candidates, Request, 0.1);
-    const auto Other = Books().choose(Candidates, Request, 0.9);
+    const auto One = UpstreamStats().choose(Candidates, Request, 0.1);
+    const auto Other = UpstreamStats().choose(Candidates, Request, 0.9);
     RC_ASSERT(One->m_Instance == Other->m_Instance);
   });
 }
 
-TEST_CASE("An upstream that fails is left until it is judged again",
+TEST_CASE("An upstream that fails is avoided until its failures have decayed",
           "[choice]") {
-  Books Known;
+  UpstreamStats Stats;
   const auto A = engine("a"), B = engine("b", "z");
-  REQUIRE(Known.choose({&A, &B}, prompt(0, 100))->m_Instance == &A);
-  Known.m_Failures.unreachable("a", at(1s));
-  REQUIRE(Known.choose({&A, &B}, prompt(0, 100))->m_Instance == &B);
-  REQUIRE(Known.m_Failures.rate("a", at(60s)) < 0.01);
+  REQUIRE(Stats.choose({&A, &B}, prompt(0, 100))->m_Instance == &A);
+  Stats.m_Failures.unreachable("a", at(1s));
+  REQUIRE(Stats.choose({&A, &B}, prompt(0, 100))->m_Instance == &B);
+  REQUIRE(Stats.m_Failures.rate("a", at(60s)) < 0.01);
 }
 
-TEST_CASE("A long prompt keeps away from running streams", "[choice]") {
-  Books Known;
+TEST_CASE("A long prompt is not sent to an engine with running streams",
+          "[choice]") {
+  UpstreamStats Stats;
   const auto A = engine("a"), B = engine("b", "z");
   for (int Count = 0; Count < 10; ++Count)
-    Known.m_Loads.sent("a", 0, 100);
-  REQUIRE(Known.choose({&A, &B}, prompt(0, 30000))->m_Instance == &B);
+    Stats.m_Loads.sent("a", 0, 100);
+  REQUIRE(Stats.choose({&A, &B}, prompt(0, 30000))->m_Instance == &B);
 }
 
-TEST_CASE("Distance costs by its class", "[choice][regions]") {
-  Books Known;
-  Known.m_DataCentres = DataCentreMap({{DataCentreName("a"), RegionName("n")},
+TEST_CASE("An upstream in another data centre or region costs a surcharge",
+          "[choice][regions]") {
+  UpstreamStats Stats;
+  Stats.m_DataCentres = DataCentreMap({{DataCentreName("a"), RegionName("n")},
                                        {DataCentreName("b"), RegionName("n")},
                                        {DataCentreName("c"), RegionName("s")}});
   const auto Own = engine("own", "a"), Near = engine("near", "b"),
              Far = engine("far", "c"), Unknown = engine("unknown", "x");
   RequestDescriptor Plain;
-  const auto Cost = [&](const UpstreamInstance &Of) {
-    return Known.choose({&Of}, Plain)->m_CostMs;
+  const auto Cost = [&](const UpstreamInstance &Candidate) {
+    return Stats.choose({&Candidate}, Plain)->m_CostMs;
   };
   const ReplicaWeights Weights;
   REQUIRE(Cost(Near) - Cost(Own) == Approx(Weights.m_OtherZoneMs));
   REQUIRE(Cost(Far) - Cost(Own) == Approx(Weights.m_OtherRegionMs));
   REQUIRE(Cost(Unknown) == Approx(Cost(Near)));
-  SECTION("the region's own server is taken while it costs less") {
-    Known.m_Loads.sent("near", 10, 10);
-    REQUIRE(Known.choose({&Near, &Far}, Plain)->m_Instance == &Near);
-    Known.m_Loads.sent("near", 10000, 10);
-    REQUIRE(Known.choose({&Near, &Far}, Plain)->m_Instance == &Far);
+  SECTION("the upstream in the own region is chosen while it costs less") {
+    Stats.m_Loads.sent("near", 10, 10);
+    REQUIRE(Stats.choose({&Near, &Far}, Plain)->m_Instance == &Near);
+    Stats.m_Loads.sent("near", 10000, 10);
+    REQUIRE(Stats.choose({&Near, &Far}, Plain)->m_Instance == &Far);
   }
 }
 
-TEST_CASE("A cold engine is chosen where warm ones would be later by more than "
-          "its rate and the wait for a permit",
-          "[choice][warmup]") {
-  Books Known;
+TEST_CASE(
+    "A cold engine is chosen where warm ones would be slower by more than "
+    "its rate and the wait for a permit cost",
+    "[choice][warmup]") {
+  UpstreamStats Stats;
   ServiceSpec Service;
   Service.m_Name = "s";
   Service.m_WarmUp = {.m_After = 60s, .m_RequestsPerS = 10};
-  Known.m_WarmUp.configure({Service});
+  Stats.m_WarmUp.configure({Service});
   UpstreamInstance Cold = engine("cold");
   UpstreamInstance Warm = engine("warm");
   Cold.m_Service = Warm.m_Service = "s";
   Cold.m_ColdFor = 60s;
-  Known.m_WarmUp.listed(
+  Stats.m_WarmUp.listed(
       {.m_Revision = 1, .m_Instances = {{"cold", Cold}, {"warm", Warm}}},
       at(1s));
   const auto Chosen = [&] {
-    return Known.choose({&Cold, &Warm}, prompt(0, 10))->m_Instance->m_Id;
+    return Stats.choose({&Cold, &Warm}, prompt(0, 10))->m_Instance->m_Id;
   };
-  Known.m_Loads.sent("warm", 60, 10);
+  Stats.m_Loads.sent("warm", 60, 10);
   REQUIRE(Chosen() == "warm");
-  Known.m_Loads.sent("warm", 120, 10);
+  Stats.m_Loads.sent("warm", 120, 10);
   REQUIRE(Chosen() == "cold");
-  Known.m_Bounds.noteBusy("cold", at(1s) + 900ms, at(1s));
+  Stats.m_Bounds.noteBusy("cold", at(1s) + 900ms, at(1s));
   REQUIRE(Chosen() == "warm");
 }
 
-TEST_CASE("A server that names a limit is chosen like others while a permit is "
-          "to be had",
-          "[choice][server-limit]") {
-  Books Known;
+TEST_CASE(
+    "An upstream with a rate limit is chosen like others while permits are "
+    "available",
+    "[choice][server-limit]") {
+  UpstreamStats Stats;
   const UpstreamInstance Limited = engine("limited");
-  const UpstreamInstance Whole = engine("whole");
-  Known.m_Words.toldLimit(Limited.life(), 1, BoxName("b"), 0s, at(1s));
+  const UpstreamInstance Unlimited = engine("unlimited");
+  Stats.m_Words.toldLimit(Limited.life(), 1, BoxName("b"), 0s, at(1s));
   const auto Chosen = [&] {
-    return *Known.choose({&Limited, &Whole}, prompt(0, 10));
+    return *Stats.choose({&Limited, &Unlimited}, prompt(0, 10));
   };
-  REQUIRE(Chosen().m_Instance == &Whole);
-  Known.m_Loads.sent("whole", 20, 10);
+  REQUIRE(Chosen().m_Instance == &Unlimited);
+  Stats.m_Loads.sent("unlimited", 20, 10);
   REQUIRE(Chosen().m_Instance == &Limited);
   REQUIRE(Chosen().m_Limited);
   REQUIRE(Chosen().m_PermitSavingMs.value() > 0);
   REQUIRE(Chosen().m_PermitSavingMs.value() < 25);
-  Known.m_Bounds.noteBusy("limited", at(1s) + 100ms, at(1s));
-  REQUIRE(Chosen().m_Instance == &Whole);
-  SECTION("alone it has no other to be compared with") {
-    REQUIRE_FALSE(Known.choose({&Limited}, prompt(0, 10))->m_PermitSavingMs);
+  Stats.m_Bounds.noteBusy("limited", at(1s) + 100ms, at(1s));
+  REQUIRE(Chosen().m_Instance == &Unlimited);
+  SECTION("alone it has no upstream to be compared with") {
+    REQUIRE_FALSE(Stats.choose({&Limited}, prompt(0, 10))->m_PermitSavingMs);
   }
 }
--- a/tests/decisions/request/RequestAttemptsTest.cpp
+++ b/tests/decisions/request/RequestAttemptsTest.cpp
@@ -7,11 +7,12 @@
 
 namespace {
 
-/// One event of an attempt on its way to the box that waits for it.
+/// An event of an attempt in transit to the box that waits for it.
 struct AttemptEvent {
   AttemptId m_Attempt = 0;
-  int m_Piece = 0;   ///< Number of a piece of the answer; -1 for the end.
-  Failure m_Failure; ///< For m_Piece -2.
+  /// Number of a piece of the answer, EndPiece or FailurePiece.
+  int m_Piece = 0;
+  Failure m_Failure; ///< For FailurePiece.
 };
 constexpr int EndPiece = -1;
 constexpr int FailurePiece = -2;
@@ -22,16 +23,17 @@
     ErrorKind::OwnerLost,      ErrorKind::OwnerUnavailable,
     ErrorKind::UpstreamFailed, ErrorKind::OutcomeUnknown};
 
-/// One request, its attempts, and what its caller was given.
-class World {
+/// Simulates one request, its attempts, and what its caller receives.
+class Simulation {
 public:
-  World(bool Unsafe, bool Match)
+  Simulation(bool Unsafe, bool Match)
       : m_Unsafe(Unsafe),
         m_Attempts({.m_Unsafe = Unsafe, .m_MatchAttempts = Match}) {
     startAttempt(0);
   }
 
-  /// Answers the attempts so far, in part or whole, and loses the rest.
+  /// Makes one step: an attempt runs or fails, or an event is duplicated or
+  /// delivered.
   void step(int Command, int Chance) {
     if (m_LastAttempt == 0)
       return;
@@ -52,9 +54,9 @@
 
   std::uint64_t violations() const {
     std::uint64_t Count = m_Violations;
-    const bool ToldNotRun =
+    const bool ReportedNotRun =
         m_Answer && answerFor(m_Answer->m_Kind).m_RunState == RunState::NotRun;
-    Count += ToldNotRun && m_Unsafe && m_Executions > 0 ? 1 : 0;
+    Count += ReportedNotRun && m_Unsafe && m_Executions > 0 ? 1 : 0;
     Count += m_Unsafe && m_Executions > 1 ? 1 : 0;
     return Count;
   }
@@ -67,7 +69,8 @@
     m_Sent[m_LastAttempt] = 0;
   }
 
-  /// The upstream runs the attempt once, if it has not refused it.
+  /// The upstream sends the next piece of an attempt, unless it has refused it.
+  /// It runs an attempt once.
   void run(AttemptId Attempt) {
     int &Sent = m_Sent[Attempt];
     if (Sent < 0 || Sent > PieceCount)
@@ -86,25 +89,26 @@
     const ErrorKind Kind =
         Kinds[static_cast<std::size_t>(Chance) % Kinds.size()];
     const bool NotRun = answerFor(Kind).m_RunState == RunState::NotRun;
-    // Boxes say "not run" only of what they did not run.
+    // Boxes report only an attempt that they did not run as not run.
     if (Sent < 0 || (NotRun && m_Ran.count(Attempt) != 0))
       return;
     ++m_Faults;
     m_Network.push_back({Attempt, FailurePiece, Failure{.m_Kind = Kind}});
-    // Lost without a word: the upstream may still run it.
+    // A failure that leaves it open: the upstream may still run the attempt.
     Sent = NotRun ? -1 : Sent;
   }
 
-  /// Events of different attempts overtake each other; those of one do not.
+  /// Events of different attempts are reordered; those of one are not.
   void deliver(int Chance) {
     if (m_Network.empty())
       return;
-    const AttemptId Of =
+    const AttemptId Selected =
         m_Network[static_cast<std::size_t>(Chance) % m_Network.size()]
             .m_Attempt;
     const auto Place =
-        std::find_if(m_Network.begin(), m_Network.end(),
-                     [&](const auto &Each) { return Each.m_Attempt == Of; });
+        std::find_if(m_Network.begin(), m_Network.end(), [&](const auto &Each) {
+          return Each.m_Attempt == Selected;
+        });
     const AttemptEvent Event = *Place;
     m_Network.erase(Place);
     receive(Event);
@@ -120,8 +124,8 @@
       m_Attempts.completed(Event.m_Attempt);
       return;
     }
-    // A doubled piece never comes: links keep order. A piece of another
-    // attempt does, and must not be taken.
+    // Links keep order, so a duplicate of an earlier piece is dropped. A piece
+    // of another attempt must not be accepted.
     if (m_From == 0)
       m_From = Event.m_Attempt;
     if (Event.m_Attempt == m_From && Event.m_Piece < m_Next)
@@ -154,20 +158,22 @@
   std::uint64_t m_Violations = 0;
 };
 
-std::uint64_t runWorld(bool Unsafe, bool Match,
+std::uint64_t simulate(bool Unsafe, bool Match,
                        const std::vector<std::pair<int, int>> &Steps,
                        std::uint64_t &Faults) {
-  World Ran(Unsafe, Match);
+  Simulation Run(Unsafe, Match);
   for (const auto &[Command, Chance] : Steps)
-    Ran.step(Command, Chance);
-  Faults = Ran.m_Faults;
-  return Ran.violations();
+    Run.step(Command, Chance);
+  Faults = Run.m_Faults;
+  return Run.violations();
 }
 
 } // namespace
 
-TEST_CASE("Each caller gets one whole answer, and unsafe requests run once",
-          "[attempts][proof]") {
+TEST_CASE(
+    "A caller gets one complete answer, and an unsafe request runs at most "
+    "once",
+    "[attempts][proof]") {
   const bool Unsafe = GENERATE(false, true);
   const std::string Point = std::string("3, 4, 5 attempts, ") +
                             (Unsafe ? "unsafe request" : "safe request");
@@ -175,23 +181,23 @@
     const auto Steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
         40, rc::gen::pair(drawn(0, 5), drawn(0, 1000)));
     std::uint64_t Faults = 0;
-    const std::uint64_t Violations = runWorld(Unsafe, true, Steps, Faults);
+    const std::uint64_t Violations = simulate(Unsafe, true, Steps, Faults);
     ProofTable::instance().add(Point, Faults, Violations);
     RC_ASSERT(Violations == 0U);
   });
 }
 
-TEST_CASE("The oracle sees mixed answers when attempts are not matched",
+TEST_CASE("The oracle detects mixed answers when late attempts are not ignored",
           "[attempts][mutation]") {
   // The first attempt answers late, after the second has begun to answer.
   const std::vector<std::pair<int, int>> Steps{{1, 2}, {3, 0}, {0, 1},
                                                {3, 0}, {0, 0}, {3, 0}};
   std::uint64_t Faults = 0;
-  REQUIRE(runWorld(false, false, Steps, Faults) > 0);
-  REQUIRE(runWorld(false, true, Steps, Faults) == 0);
+  REQUIRE(simulate(false, false, Steps, Faults) > 0);
+  REQUIRE(simulate(false, true, Steps, Faults) == 0);
 }
 
-TEST_CASE("An unsafe request that may have run is never tried again",
+TEST_CASE("An unsafe request that may have run is not repeated",
           "[attempts][unsafe]") {
   RequestAttempts Attempts({.m_Unsafe = true});
   Attempts.begin(1, upstreamName(1));
@@ -201,7 +207,7 @@
           ErrorKind::OutcomeUnknown);
 }
 
-TEST_CASE("When only the box was lost, its upstream may be tried again",
+TEST_CASE("An upstream may be tried again when only its box failed",
           "[attempts]") {
   RequestAttempts Attempts({});
   Attempts.begin(1, upstreamName(1));
--- a/tests/decisions/request/RequestAuthorizationTest.cpp
+++ b/tests/decisions/request/RequestAuthorizationTest.cpp
@@ -14,10 +14,10 @@
                                          const Regions &OfOrganisation,
                                          const std::string &Key = "h") {
   auto Config = std::make_shared<ServingConfig>();
-  Route Of;
-  Of.m_Name = "r";
-  Of.m_AllowedRegions = OfRoute;
-  Config->m_Routes = {Of};
+  Route MatchedRoute;
+  MatchedRoute.m_Name = "r";
+  MatchedRoute.m_AllowedRegions = OfRoute;
+  Config->m_Routes = {MatchedRoute};
   Organisation Gym;
   Gym.m_Name = "gym";
   Gym.m_Keys = {KeyHash{Key}};
@@ -27,7 +27,8 @@
   return Config;
 }
 
-RequestAuthorization standingOf(const RequestAuthorization::ConfigPtr &Config) {
+RequestAuthorization
+authorizationOf(const RequestAuthorization::ConfigPtr &Config) {
   return {Config,
           Config->m_Routes.front(),
           &Config->m_Organisations.front(),
@@ -36,55 +37,55 @@
 
 } // namespace
 
-TEST_CASE("A request is judged by the configuration that it came with",
+TEST_CASE("A request is checked against the configuration that it arrived with",
           "[regions]") {
   const auto Config = configOf({North}, {});
-  RequestAuthorization Standing = standingOf(Config);
-  Standing.update(nullptr);
-  Standing.update(Config);
-  REQUIRE_FALSE(Standing.refusal());
-  REQUIRE(Standing.regions().allows(North));
-  REQUIRE_FALSE(Standing.regions().allows(South));
+  RequestAuthorization Authorization = authorizationOf(Config);
+  Authorization.update(nullptr);
+  Authorization.update(Config);
+  REQUIRE_FALSE(Authorization.refusal());
+  REQUIRE(Authorization.regions().allows(North));
+  REQUIRE_FALSE(Authorization.regions().allows(South));
 }
 
-TEST_CASE("Regions that change while a request is under way bind it",
+TEST_CASE("Regions that change while a request is in progress apply to it",
           "[regions]") {
   const auto Config = configOf({}, {});
-  RequestAuthorization Standing = standingOf(Config);
-  SECTION("of its route") {
-    Standing.update(configOf({South}, {}));
-    REQUIRE_FALSE(Standing.regions().allows(North));
+  RequestAuthorization Authorization = authorizationOf(Config);
+  SECTION("those of its route") {
+    Authorization.update(configOf({South}, {}));
+    REQUIRE_FALSE(Authorization.regions().allows(North));
   }
-  SECTION("of its organisation") {
-    Standing.update(configOf({}, {South}));
-    REQUIRE_FALSE(Standing.regions().allows(North));
+  SECTION("those of its organisation") {
+    Authorization.update(configOf({}, {South}));
+    REQUIRE_FALSE(Authorization.regions().allows(North));
   }
-  SECTION("until nothing is left") {
-    Standing.update(configOf({North}, {South}));
-    REQUIRE(Standing.refusal()->m_Kind == ErrorKind::NoAllowedRegion);
-    REQUIRE(Standing.refusal()->m_RetryAfter > 0us);
-    SECTION("and back") {
-      Standing.update(configOf({North}, {}));
-      REQUIRE_FALSE(Standing.refusal());
-      REQUIRE(Standing.regions().allows(North));
+  SECTION("until no region is allowed") {
+    Authorization.update(configOf({North}, {South}));
+    REQUIRE(Authorization.refusal()->m_Kind == ErrorKind::NoAllowedRegion);
+    REQUIRE(Authorization.refusal()->m_RetryAfter > 0us);
+    SECTION("and one is allowed again") {
+      Authorization.update(configOf({North}, {}));
+      REQUIRE_FALSE(Authorization.refusal());
+      REQUIRE(Authorization.regions().allows(North));
     }
   }
 }
 
-TEST_CASE("The regions of a route that was removed go on binding its requests",
+TEST_CASE("The regions of a removed route still apply to its requests",
           "[regions]") {
   const auto Config = configOf({North}, {});
-  RequestAuthorization Standing = standingOf(Config);
+  RequestAuthorization Authorization = authorizationOf(Config);
   auto Without = std::make_shared<ServingConfig>(*configOf({}, {}));
   Without->m_Routes.clear();
-  Standing.update(Without);
-  REQUIRE_FALSE(Standing.regions().allows(South));
+  Authorization.update(Without);
+  REQUIRE_FALSE(Authorization.regions().allows(South));
 }
 
-TEST_CASE("A request whose key is taken away is refused before its regions",
+TEST_CASE("A revoked key is reported before regions that are no longer allowed",
           "[regions][keys]") {
   const auto Config = configOf({North}, {});
-  RequestAuthorization Standing = standingOf(Config);
-  Standing.update(configOf({North}, {South}, "other"));
-  REQUIRE(Standing.refusal()->m_Kind == ErrorKind::UnknownKey);
+  RequestAuthorization Authorization = authorizationOf(Config);
+  Authorization.update(configOf({North}, {South}, "other"));
+  REQUIRE(Authorization.refusal()->m_Kind == ErrorKind::UnknownKey);
 }
--- a/tests/decisions/request/RetryAfterRefusalTest.cpp
+++ b/tests/decisions/request/RetryAfterRefusalTest.cpp
@@ -8,33 +8,35 @@
 
 constexpr TimePoint Start(1000s);
 
-UpstreamInstance server(const std::string &Id) {
+UpstreamInstance upstream(const std::string &Id) {
   return {.m_Id = Id, .m_Service = "s"};
 }
 
 } // namespace
 
-TEST_CASE("Callers are told of the first server that takes requests again, and "
-          "spread",
-          "[server-retry-after]") {
-  const UpstreamInstance Soon = server("soon");
-  const UpstreamInstance Late = server("late");
-  ServerWords Words;
-  Words.heardRetryAfter(Late.life(), 9s, Start);
-  SECTION("none while one of them takes requests, or where there is none") {
-    REQUIRE_FALSE(refuseForRetryAfter({&Soon, &Late}, Words, 0, Start));
-    REQUIRE_FALSE(refuseForRetryAfter({}, Words, 0, Start));
+TEST_CASE(
+    "The retry time is when the first upstream accepts requests again, and "
+    "is spread",
+    "[server-retry-after]") {
+  const UpstreamInstance Soon = upstream("soon");
+  const UpstreamInstance Late = upstream("late");
+  ServerWords Signals;
+  Signals.heardRetryAfter(Late.life(), 9s, Start);
+  SECTION("none while one of them accepts requests, or without upstreams") {
+    REQUIRE_FALSE(refuseForRetryAfter({&Soon, &Late}, Signals, 0, Start));
+    REQUIRE_FALSE(refuseForRetryAfter({}, Signals, 0, Start));
   }
-  SECTION("over half of the time that is left") {
-    Words.heardRetryAfter(Soon.life(), 4s, Start);
-    const auto At = [&](double Draw) {
-      return refuseForRetryAfter({&Late, &Soon}, Words, Draw, Start + 1s);
+  SECTION("over half of the remaining time") {
+    Signals.heardRetryAfter(Soon.life(), 4s, Start);
+    const auto RefusalWith = [&](double Draw) {
+      return refuseForRetryAfter({&Late, &Soon}, Signals, Draw, Start + 1s);
     };
-    REQUIRE(At(0) == RetryAfterRefusal{.m_Upstream = "soon", .m_After = 3s});
-    REQUIRE(At(1)->m_After == 4500ms);
+    REQUIRE(RefusalWith(0) ==
+            RetryAfterRefusal{.m_Upstream = "soon", .m_After = 3s});
+    REQUIRE(RefusalWith(1)->m_After == 4500ms);
   }
-  SECTION("or a little more where that is short") {
-    Words.heardRetryAfter(Soon.life(), 100ms, Start);
-    REQUIRE(refuseForRetryAfter({&Soon}, Words, 1, Start)->m_After == 350ms);
+  SECTION("over a minimum where that is short") {
+    Signals.heardRetryAfter(Soon.life(), 100ms, Start);
+    REQUIRE(refuseForRetryAfter({&Soon}, Signals, 1, Start)->m_After == 350ms);
   }
 }
--- a/tests/decisions/request/RouterTest.cpp
+++ b/tests/decisions/request/RouterTest.cpp
@@ -16,7 +16,8 @@
 
 } // namespace
 
-TEST_CASE("A conversation stays where it is while load allows", "[routing]") {
+TEST_CASE("A conversation stays at its upstream while the pressure allows it",
+          "[routing]") {
   const auto Idle = candidates({0, 0, 0, 0});
   const auto Preferred = *prefixAffinity(Idle, 42, 0.25);
   std::vector<Candidate> Busy = Idle;
@@ -30,7 +31,7 @@
   REQUIRE(prefixAffinity(Busy, 42, 0.25) != Preferred);
 }
 
-TEST_CASE("The choice is never above the least pressure by more than the slack",
+TEST_CASE("The chosen pressure exceeds the least by no more than the slack",
           "[routing][property]") {
   rc::prop("bounded load", [] {
     const auto Pressures =
@@ -39,13 +40,13 @@
     const auto All = candidates(Pressures);
     const auto Chosen = *prefixAffinity(All, Prefix, 0.25);
     double Least = 1e9;
-    double Of = 0;
+    double ChosenPressure = 0;
     for (const Candidate &Each : All) {
       Least = std::min(Least, Each.m_Pressure);
       if (Each.m_Upstream == Chosen)
-        Of = Each.m_Pressure;
+        ChosenPressure = Each.m_Pressure;
     }
-    RC_ASSERT(Of <= Least + 0.25);
+    RC_ASSERT(ChosenPressure <= Least + 0.25);
   });
 }
 
--- a/tests/decisions/request/UpstreamAdmissionTest.cpp
+++ b/tests/decisions/request/UpstreamAdmissionTest.cpp
@@ -19,13 +19,13 @@
           .m_Deadline = Deadline};
 }
 
-/// Fate of each request, as an oracle keeps it.
-struct Fates {
+/// Oracle that tracks the state of each request and counts violations.
+struct AdmissionOracle {
   std::set<RequestId> m_Waiting;
   std::set<RequestId> m_Running;
   std::uint64_t m_Violations = 0;
 
-  void note(const AdmissionActions &Actions, int Slots) {
+  void record(const AdmissionActions &Actions, int Slots) {
     for (const AdmissionAction &Action : Actions) {
       if (const auto *Start = std::get_if<StartRequest>(&Action)) {
         m_Violations += m_Waiting.erase(Start->m_Id) == 1 ? 0 : 1;
@@ -47,7 +47,7 @@
   UpstreamAdmission Admission = makeAdmission(1);
   REQUIRE(std::holds_alternative<StartRequest>(
       Admission.offer(request(1, at(10s)), at(0us)).at(0)));
-  // The first service time is taken to be 200 ms.
+  // The initial service time is 200 ms.
   const AdmissionActions Actions =
       Admission.offer(request(2, at(100ms)), at(0us));
   REQUIRE(Actions.size() == 1);
@@ -56,7 +56,7 @@
   REQUIRE(Refusal.m_Failure.m_RetryAfter == 200ms);
 }
 
-TEST_CASE("A waiting request is refused as soon as its deadline is lost",
+TEST_CASE("A waiting request is refused as soon as it cannot meet its deadline",
           "[admission]") {
   UpstreamAdmission Admission = makeAdmission(1);
   Admission.offer(request(1, at(10s)), at(0us));
@@ -68,14 +68,15 @@
           ErrorKind::Overloaded);
 }
 
-TEST_CASE("A group far above its share leaves a slot to one that comes back",
-          "[admission][fairness]") {
+TEST_CASE(
+    "A group far above its share leaves a slot free for a returning group",
+    "[admission][fairness]") {
   UpstreamAdmission Admission = makeAdmission(4);
   const auto Started = [](const AdmissionActions &Actions) {
     return Actions.size() == 1 &&
            std::holds_alternative<StartRequest>(Actions.at(0));
   };
-  SECTION("while the other was active lately") {
+  SECTION("while the other was active recently") {
     // With three groups each has a share of 1.33 slots.
     for (int Group : {1, 2}) {
       REQUIRE(
@@ -87,14 +88,15 @@
     REQUIRE(Admission.load(at(2ms)).m_Running == 3);
     REQUIRE(Started(Admission.offer(request(20, at(10s), 1), at(3ms))));
   }
-  SECTION("but alone it has all slots") {
+  SECTION("but alone it may use all slots") {
     for (int Id = 2; Id < 12; ++Id)
       Admission.offer(request(Id, at(100s), 0), at(2ms));
     REQUIRE(Admission.load(at(2ms)).m_Running == 4);
   }
 }
 
-TEST_CASE("Refused requests count as load for a while", "[admission]") {
+TEST_CASE("Refused requests count as offered load for some time",
+          "[admission]") {
   UpstreamAdmission Admission = makeAdmission(1);
   Admission.offer(request(1, at(10s)), at(0us));
   for (int Id = 2; Id < 7; ++Id)
@@ -116,13 +118,13 @@
   REQUIRE(Start.m_Waited == 50ms);
 }
 
-TEST_CASE("Each request is started once or refused once, within the slots",
+TEST_CASE("Each request is started or refused exactly once, within the slots",
           "[admission][proof]") {
   const std::string Point = "4 admission, one fate for each request";
   rc::prop(Point, [&] {
     const int Slots = *drawn(1, 4);
     UpstreamAdmission Admission = makeAdmission(Slots);
-    Fates Known;
+    AdmissionOracle Oracle;
     TimePoint Now = at(0us);
     int Next = 0;
     const auto Steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
@@ -130,26 +132,26 @@
     for (const auto &[Command, Size] : Steps) {
       Now += std::chrono::milliseconds(Size % 40);
       if (Command <= 2) {
-        const QueuedRequest Made =
+        const QueuedRequest Offered =
             request(++Next, Now + std::chrono::milliseconds(Size), Size % 3);
-        Known.m_Waiting.insert(Made.m_Id);
-        Known.note(Admission.offer(Made, Now), Slots);
-      } else if (Command == 3 && !Known.m_Running.empty()) {
-        const RequestId Done = *Known.m_Running.begin();
-        Known.m_Running.erase(Done);
-        Known.note(Admission.finished(Done, Size, Now), Slots);
-      } else if (Command == 4 && !Known.m_Waiting.empty()) {
-        const RequestId Gone = *Known.m_Waiting.begin();
-        Known.m_Waiting.erase(Gone);
-        Known.note(Admission.cancelled(Gone, Now), Slots);
+        Oracle.m_Waiting.insert(Offered.m_Id);
+        Oracle.record(Admission.offer(Offered, Now), Slots);
+      } else if (Command == 3 && !Oracle.m_Running.empty()) {
+        const RequestId Done = *Oracle.m_Running.begin();
+        Oracle.m_Running.erase(Done);
+        Oracle.record(Admission.finished(Done, Size, Now), Slots);
+      } else if (Command == 4 && !Oracle.m_Waiting.empty()) {
+        const RequestId Gone = *Oracle.m_Waiting.begin();
+        Oracle.m_Waiting.erase(Gone);
+        Oracle.record(Admission.cancelled(Gone, Now), Slots);
       } else {
-        Known.note(Admission.sweep(Now), Slots);
+        Oracle.record(Admission.sweep(Now), Slots);
       }
       const UpstreamLoad Load = Admission.load(Now);
-      Known.m_Violations +=
-          Load.m_Waiting == static_cast<int>(Known.m_Waiting.size()) ? 0 : 1;
+      Oracle.m_Violations +=
+          Load.m_Waiting == static_cast<int>(Oracle.m_Waiting.size()) ? 0 : 1;
     }
-    ProofTable::instance().add(Point, 0, Known.m_Violations);
-    RC_ASSERT(Known.m_Violations == 0U);
+    ProofTable::instance().add(Point, 0, Oracle.m_Violations);
+    RC_ASSERT(Oracle.m_Violations == 0U);
   });
 }
--- a/tests/decisions/request/UpstreamEligibilityTest.cpp
+++ b/tests/decisions/request/UpstreamEligibilityTest.cpp
@@ -17,14 +17,15 @@
   return Result;
 }
 
-/// Engines in north (a), south (b) and a data centre without a region (x).
-class Reach {
+/// Engines in the data centres a (region north), b (region south) and x
+/// (without a region).
+class EligibilityTest {
 public:
-  explicit Reach(const std::set<RegionName> &Allowed) {
+  explicit EligibilityTest(const std::set<RegionName> &Allowed) {
     m_Request.m_Model = "m";
-    Route Of;
-    Of.m_AllowedRegions = Allowed;
-    m_Regions = AllowedRegions(Of, nullptr);
+    Route MatchedRoute;
+    MatchedRoute.m_AllowedRegions = Allowed;
+    m_Regions = AllowedRegions(MatchedRoute, nullptr);
   }
 
   void list(std::uint64_t Revision, const std::vector<UpstreamInstance> &All,
@@ -66,8 +67,8 @@
 TEST_CASE("Only upstreams in allowed regions are candidates", "[regions]") {
   const std::vector<UpstreamInstance> All{
       engine("e-a", "a"), engine("e-b", "b"), engine("e-x", "x")};
-  Reach Anywhere({}), InSouth({South}), InWest({West});
-  for (Reach *Each : {&Anywhere, &InSouth, &InWest})
+  EligibilityTest Anywhere({}), InSouth({South}), InWest({West});
+  for (EligibilityTest *Each : {&Anywhere, &InSouth, &InWest})
     Each->list(1, All, at(1s));
   REQUIRE(Anywhere.names(at(1s)) == Names{"e-a", "e-b", "e-x"});
   REQUIRE(InSouth.names(at(1s)) == Names{"e-b"});
@@ -77,22 +78,24 @@
   REQUIRE_FALSE(InWest.get().any());
 }
 
-TEST_CASE("The last resort keeps to the regions too", "[regions]") {
-  Reach InSouth({South});
+TEST_CASE(
+    "Upstreams that are used as a last resort must be in allowed regions too",
+    "[regions]") {
+  EligibilityTest InSouth({South});
   InSouth.list(1, {engine("e-a", "a"), engine("e-b", "b")}, at(1s));
-  SECTION("one that leaves elsewhere is no resort") {
+  SECTION("one that is no longer listed in a forbidden region is not used") {
     InSouth.list(2, {}, at(2s));
     REQUIRE(InSouth.names(at(2s)) == Names{"e-b"});
   }
-  SECTION("nor does one that stays elsewhere stand in the way of it") {
+  SECTION("one that stays listed in a forbidden region does not prevent it") {
     InSouth.list(2, {engine("e-a", "a")}, at(2s));
     REQUIRE(InSouth.names(at(2s)) == Names{"e-b"});
     REQUIRE_FALSE(InSouth.get().any());
   }
 }
 
-TEST_CASE("A load elsewhere is no reason to wait", "[regions]") {
-  Reach InSouth({South});
+TEST_CASE("A load in a forbidden region is no reason to wait", "[regions]") {
+  EligibilityTest InSouth({South});
   InSouth.list(1, {engine("e-a", "a", false), engine("e-b", "b", false)},
                at(1s));
   InSouth.m_View.toldLoad({"e-a"}, "m", at(2s));
--- a/tests/decisions/version/AssignmentTest.cpp
+++ b/tests/decisions/version/AssignmentTest.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST_CASE("An assignment is even, and moves only what it must",
+TEST_CASE("An assignment is even and moves no more than needed",
           "[assignment][property]") {
   rc::prop("boxes come and go", [] {
     Assignment Current;
@@ -54,7 +54,7 @@
           Owned.begin(), Owned.end(),
           [](const auto &A, const auto &B) { return A.second < B.second; });
       RC_ASSERT(Most->second - Least->second <= 1);
-      // Live owners lose only what they have above the even count.
+      // Live owners lose only what they own above the even count.
       const int Even = Count / static_cast<int>(Live.size());
       std::map<BoxName, int> Had;
       for (const auto &[Upstream, Box] : Current.m_OwnerOf)
@@ -68,13 +68,14 @@
   });
 }
 
-TEST_CASE("Nothing changes while the boxes stay", "[assignment]") {
+TEST_CASE("An assignment does not change while the boxes stay the same",
+          "[assignment]") {
   const auto First = nextAssignment({}, boxes({1, 2, 3}), upstreams(10));
   REQUIRE(First);
   REQUIRE_FALSE(nextAssignment(*First, boxes({1, 2, 3}), upstreams(10)));
 }
 
-TEST_CASE("A slice remembers the version at which its owner changed",
+TEST_CASE("A slice keeps the version in which its owner changed",
           "[assignment]") {
   const auto First = nextAssignment({}, boxes({1, 2}), upstreams(2));
   const auto Second = nextAssignment(*First, boxes({1}), upstreams(2));
--- a/tests/decisions/version/ServingConfigTest.cpp
+++ b/tests/decisions/version/ServingConfigTest.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-TEST_CASE("A request takes the route with the longest prefix of its host",
+TEST_CASE("A request matches the route of its host with the longest prefix",
           "[config]") {
   ServingConfig Config;
   Config.m_Routes = {routeTo("short", "a", "/x/"),
@@ -30,7 +30,7 @@
   REQUIRE(Config.route("c", "/x/") == nullptr);
 }
 
-TEST_CASE("A split gives each service its part, alike on all boxes",
+TEST_CASE("A split gives each service its share, the same on all boxes",
           "[config]") {
   Route Split = routeTo("r", "a", "/");
   Split.m_Split = {{.m_Service = "old", .m_Weight = 90},
@@ -45,14 +45,15 @@
   REQUIRE(New < 500);
 }
 
-TEST_CASE("Only safe routes and resumable streams may run again", "[config]") {
-  Route Each = routeTo("r", "a", "/");
+TEST_CASE("Only requests of safe routes and resumable streams may run again",
+          "[config]") {
+  Route Tested = routeTo("r", "a", "/");
   const auto Kind =
       GENERATE(RouteKind::Safe, RouteKind::Unsafe, RouteKind::Stream);
   const bool Resumable = GENERATE(false, true);
-  Each.m_Kind = Kind;
-  Each.m_Resumable = Resumable;
+  Tested.m_Kind = Kind;
+  Tested.m_Resumable = Resumable;
   const bool Expected =
       Kind == RouteKind::Safe || (Kind == RouteKind::Stream && Resumable);
-  REQUIRE(Each.idempotent() == Expected);
+  REQUIRE(Tested.idempotent() == Expected);
 }
--- a/tests/decisions/version/TableTest.cpp
+++ b/tests/decisions/version/TableTest.cpp
@@ -10,15 +10,15 @@
 const std::string HashA(64, 'a');
 
 Table tableWithModels() {
-  Table Made;
+  Table Result;
   Catalogue Models;
   Models.m_Version = 1;
   Models.m_Entries[modelName(1)] = {.m_Name = modelName(1), .m_Size = 60};
   Models.m_Entries[modelName(2)] = {.m_Name = modelName(2), .m_Size = 50};
   Models.m_Entries[modelName(3)] = {
       .m_Name = modelName(3), .m_Size = 45, .m_Base = modelName(1)};
-  Made.apply(Models);
-  return Made;
+  Result.apply(Models);
+  return Result;
 }
 
 GroupRow goodRow() {
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST_CASE("Versions of a row only rise, in whatever order they arrive",
+TEST_CASE("The version of a row only grows, in whatever order edits arrive",
           "[table][proof]") {
   const std::string Point = "8 configuration, versions in any order";
   rc::prop(Point, [&] {
@@ -41,23 +41,23 @@
         *rc::gen::container<std::vector<std::tuple<int, int, int>>>(
             60, rc::gen::tuple(drawn(0, 3), drawn(0, 3), drawn(1, 40)));
     for (const auto &[Box, Group, Version] : Steps) {
-      Table &At = Boxes[static_cast<std::size_t>(Box)];
+      Table &Receiver = Boxes[static_cast<std::size_t>(Box)];
       GroupRow Row{.m_Group = groupName(Group)};
       Row.m_Version = static_cast<TableVersion>(Version);
       Row.m_Weight = Version;
       Row.m_Removed = Version % 7 == 0;
-      const auto Before = At.allRows().find(Row.m_Group);
+      const auto Before = Receiver.allRows().find(Row.m_Group);
       const TableVersion Had =
-          Before == At.allRows().end() ? 0 : Before->second.m_Version;
-      Faults += At.apply(Row) ? 0 : 1;
-      const TableVersion Has = At.allRows().at(Row.m_Group).m_Version;
+          Before == Receiver.allRows().end() ? 0 : Before->second.m_Version;
+      Faults += Receiver.apply(Row) ? 0 : 1;
+      const TableVersion Has = Receiver.allRows().at(Row.m_Group).m_Version;
       Violations += Has == std::max(Had, Row.m_Version) ? 0 : 1;
     }
-    // All that any box has reaches all boxes, in any order.
-    for (Table &To : Boxes)
+    // Each box gets all rows of all boxes; then all boxes have the same.
+    for (Table &Receiver : Boxes)
       for (const Table &From : Boxes)
         for (const auto &[Name, Row] : From.allRows())
-          To.apply(Row);
+          Receiver.apply(Row);
     for (const Table &Box : Boxes)
       Violations += Box.allRows() == Boxes[0].allRows() ? 0 : 1;
     ProofTable::instance().add(Point, Faults, Violations);
@@ -65,7 +65,7 @@
   });
 }
 
-TEST_CASE("A bad cell is named", "[table]") {
+TEST_CASE("An invalid cell is reported by name", "[table]") {
   const Table Current = tableWithModels();
   GroupRow Row = goodRow();
   REQUIRE_FALSE(checkRow(Current, Row, TwoEngines));
@@ -124,10 +124,10 @@
   REQUIRE(Current.findByKeyHash(HashA)->m_Group == groupName(1));
 }
 
-TEST_CASE("A row that leaves no memory for a model is refused", "[table]") {
+TEST_CASE("A row whose models do not fit into memory is refused", "[table]") {
   const Table Current = tableWithModels();
   GroupRow Row = goodRow();
-  // 60 + 45 ride on one engine of 100.
+  // A model of 60 and its adapter of 45 exceed an engine of 100.
   Row.m_Artifacts = {modelName(1), modelName(3)};
   REQUIRE(checkRow(Current, Row, TwoEngines)->m_Cell == "models");
   Row.m_Artifacts = {modelName(1), modelName(2)};
@@ -135,16 +135,16 @@
   REQUIRE(checkRow(Current, Row, Capacity{{100}})->m_Cell == "models");
 }
 
-TEST_CASE("A removed row stays removed for older news", "[table]") {
+TEST_CASE("An older version does not restore a removed row", "[table]") {
   Table Current = tableWithModels();
   GroupRow Row = goodRow();
   Row.m_KeyHashes = {HashA};
   Row.m_Version = 2;
   Current.apply(Row);
-  GroupRow Mark{.m_Group = groupName(1)};
-  Mark.m_Version = 3;
-  Mark.m_Removed = true;
-  Current.apply(Mark);
+  GroupRow Tombstone{.m_Group = groupName(1)};
+  Tombstone.m_Version = 3;
+  Tombstone.m_Removed = true;
+  Current.apply(Tombstone);
   REQUIRE_FALSE(Current.apply(Row));
   REQUIRE(Current.find(groupName(1)) == nullptr);
   REQUIRE(Current.findByKeyHash(HashA) == nullptr);
--- a/tests/gateway/AdmissionTest.cpp
+++ b/tests/gateway/AdmissionTest.cpp
@@ -7,7 +7,7 @@
 using Request = StandinRunner::Request;
 using ConnectionPtr = StandinRunner::ConnectionPtr;
 
-/// One engine that holds one of two models and answers nothing.
+/// One engine that holds one of two models and never answers.
 class AdmissionTest : public GatewayTest {
 public:
   AdmissionTest() {
@@ -36,24 +36,27 @@
 
 } // namespace
 
-TEST_CASE("A stop answers those that wait for a load, and says where to go",
-          "[gateway][admission]") {
+TEST_CASE(
+    "A box that stops refuses requests that wait for a load, with an early "
+    "retry time",
+    "[gateway][admission]") {
   AdmissionTest Test;
   const auto Waits = [&] { return Test.m_Gateway->openRequests() == 1; };
-  SECTION("they came before it") {
+  SECTION("requests that came before the stop") {
     Test.ask("id-1", "n");
     REQUIRE(Test.until(Waits));
     Test.m_Gateway->stop();
   }
-  SECTION("they come during it") {
+  SECTION("requests that come during the stop") {
     Test.m_Gateway->stop();
     Test.ask("id-1", "n");
   }
   REQUIRE(Test.until([&] { return Test.m_Answer.has_value(); }));
   REQUIRE(Test.m_Answer->m_Status == 503);
-  const std::string Away = findHeader(Test.m_Answer->m_Headers, "retry-after");
-  REQUIRE_FALSE(Away.empty());
-  // Another box is there at once; the load is seconds away.
-  REQUIRE(std::stod(Away) < 0.1);
+  const std::string RetryAfter =
+      findHeader(Test.m_Answer->m_Headers, "retry-after");
+  REQUIRE_FALSE(RetryAfter.empty());
+  // Another box can serve at once, while the load takes seconds.
+  REQUIRE(std::stod(RetryAfter) < 0.1);
   REQUIRE(Test.arrivals("id-1") == 0);
 }
--- a/tests/gateway/EarlyRequestsTest.cpp
+++ b/tests/gateway/EarlyRequestsTest.cpp
@@ -8,8 +8,8 @@
 using Request = StandinRunner::Request;
 using ConnectionPtr = StandinRunner::ConnectionPtr;
 
-void answerWell(const Request &Of, const ConnectionPtr &To) {
-  To->write(StandinRunner::answer(Of, 200, "body"));
+void answerWell(const Request &Received, const ConnectionPtr &Connection) {
+  Connection->write(StandinRunner::answer(Received, 200, "body"));
 }
 
 EarlyRequests::Item early(TimePoint Arrived, std::optional<Duration> Deadline) {
@@ -20,25 +20,26 @@
 
 } // namespace
 
-TEST_CASE("Early requests are kept while the lists are known to come",
-          "[gateway][start]") {
+TEST_CASE(
+    "Early requests are kept while a box that starts may still get its lists",
+    "[gateway][start]") {
   const TimePoint Start = TimePoint{} + 100s;
   EarlyRequests Kept(
       Start, {.m_Within = 1500ms, .m_PartOfDeadline = 0.5, .m_Most = 2});
-  SECTION("no longer than a start takes") {
+  SECTION("no longer than a start may take") {
     CHECK(Kept.keep(early(Start, std::nullopt), Start));
     CHECK(Kept.takeOverdue(Start + 1499ms).empty());
     CHECK(Kept.takeOverdue(Start + 1500ms).size() == 1);
     CHECK_FALSE(Kept.keep(early(Start + 1600ms, std::nullopt), Start + 1600ms));
   }
-  SECTION("no longer than half of the caller's time") {
+  SECTION("no longer than half of the time to the caller's deadline") {
     CHECK(Kept.keep(early(Start, 600ms), Start));
     CHECK(Kept.keep(early(Start, 5s), Start));
     CHECK(Kept.takeOverdue(Start + 299ms).empty());
     CHECK(Kept.takeOverdue(Start + 300ms).size() == 1);
     CHECK(Kept.size() == 1);
   }
-  SECTION("only so many") {
+  SECTION("no more than the limit") {
     CHECK(Kept.keep(early(Start, 5s), Start));
     CHECK(Kept.keep(early(Start, 5s), Start));
     CHECK_FALSE(Kept.keep(early(Start, 5s), Start));
@@ -47,20 +48,21 @@
   }
 }
 
-TEST_CASE("A request that comes before the configuration is served with it",
-          "[gateway][start]") {
+TEST_CASE(
+    "A request that comes before the configuration is served once it is known",
+    "[gateway][start]") {
   GatewayTest Test;
   Test.addRunner("i-1", answerWell);
   Test.startGateway();
   HttpAnswer Answer;
   bool Done = false;
-  Test.m_Http.fetch(Test.call("/unsafe/x", "id-1"), [&](HttpAnswer Of) {
-    Answer = std::move(Of);
+  Test.m_Http.fetch(Test.call("/unsafe/x", "id-1"), [&](HttpAnswer Received) {
+    Answer = std::move(Received);
     Done = true;
   });
   REQUIRE(Test.until([&] { return Test.m_Gateway->openRequests() == 1; }));
 
-  SECTION("once") {
+  SECTION("exactly once") {
     Test.configure(1);
     REQUIRE(Test.until([&] { return Done; }));
     CHECK(Answer.m_Status == 200);
--- a/tests/gateway/EntryTest.cpp
+++ b/tests/gateway/EntryTest.cpp
@@ -31,8 +31,8 @@
           -1e300,           1e300,          0.5};
 }
 
-/// A good entry with one thing wrong.
-std::string drawnRubbish() {
+/// A good entry with one error in it.
+std::string drawnInvalidEntry() {
   Json Entry = goodEntry();
   std::vector<std::string> Fields;
   for (const auto &[Name, Value] : Entry.items())
@@ -51,7 +51,7 @@
   case 2: {
     const std::string Name = *rc::gen::elementOf(Fields);
     const Json Value = *rc::gen::elementOf(wrongValues());
-    // These are good values of that field.
+    // These values are valid for that field.
     if ((Name == "coldRemainingMs" && Value == 0.5) ||
         (Name == "modelList" && Value == Json::array()) ||
         (Name == "born" && Value.is_null()))
@@ -72,8 +72,8 @@
       .m_Key = "servers/" + Id, .m_Value = std::move(Value), .m_Revision = At};
 }
 
-std::size_t linesOf(std::FILE *File, const std::string &Event,
-                    std::size_t &Longest) {
+std::size_t countEvents(std::FILE *File, const std::string &Event,
+                        std::size_t &Longest) {
   std::rewind(File);
   std::size_t Count = 0;
   std::string Line;
@@ -92,7 +92,7 @@
 
 } // namespace
 
-TEST_CASE("One bad entry never changes what is known of the others",
+TEST_CASE("An invalid entry does not affect the other entries",
           "[platform][entries][property]") {
   rc::prop("entries", [] {
     EventLoop Loop;
@@ -108,7 +108,7 @@
     RC_ASSERT(Before.m_Instances.size() == 4U);
     const std::string Bad = *rc::gen::element<std::string>(
         "i-0", "i-2", "another", "two words", "cr\r\nlf: x", "");
-    Items["servers/" + Bad] = item(Bad, drawnRubbish(), ++Revision);
+    Items["servers/" + Bad] = item(Bad, drawnInvalidEntry(), ++Revision);
     InstanceList Expected = Before;
     Expected.m_Revision = Revision;
     Expected.m_Instances.erase(Bad);
@@ -122,7 +122,7 @@
   });
 }
 
-TEST_CASE("A good entry under an id that is no name is no server",
+TEST_CASE("A valid entry under an invalid id is rejected",
           "[platform][entries]") {
   const std::string Good = dumpJson(goodEntry());
   REQUIRE(platform::decodeServer("servers/i-1", Good).m_Id == "i-1");
@@ -130,7 +130,7 @@
   REQUIRE_THROWS_AS(platform::decodeServer("servers/" + Id, Good), DecodeError);
 }
 
-TEST_CASE("A megabyte of rubbish costs one short line of the log",
+TEST_CASE("A megabyte of invalid bytes costs one short line of the log",
           "[platform][entries]") {
   EventLoop Loop;
   std::FILE *File = std::tmpfile();
@@ -138,21 +138,21 @@
   {
     DecisionLog Log(Loop, {.m_Descriptor = fileno(File)});
     UpstreamRegistry Registry(platform::decodeServer, Log);
-    const std::string Rubbish =
+    const std::string Invalid =
         GENERATE(std::string(1 << 20, '['), std::string(1 << 20, '\xff'),
                  dumpJson({{"service", std::string(1 << 20, 'x')}}));
     const std::map<std::string, StoreItem> Items{
-        {"servers/bad", item("bad", Rubbish, 1)}};
+        {"servers/bad", item("bad", Invalid, 1)}};
     for (StoreRevision Revision = 1; Revision < 5; ++Revision)
       REQUIRE(Registry.read(Items, Revision, {}).m_Instances.empty());
   }
   std::size_t Longest = 0;
-  REQUIRE(linesOf(File, "bad_upstream", Longest) == 1);
+  REQUIRE(countEvents(File, "bad_upstream", Longest) == 1);
   REQUIRE(Longest < 400);
   std::fclose(File);
 }
 
-TEST_CASE("A report that cannot be one is an error", "[platform][entries]") {
+TEST_CASE("A report with an invalid field is an error", "[platform][entries]") {
   Json Report{{"sequenceNumber", 4},
               {"utilization", true},
               {"born", 1790000000123},
@@ -176,13 +176,15 @@
   REQUIRE_THROWS_AS(platform::decodeReport(dumpJson(Report)), DecodeError);
 }
 
-TEST_CASE("Without its models a report would be of an empty engine",
-          "[platform][entries]") {
+TEST_CASE(
+    "A report without its list of models is an error, as it would show an "
+    "empty engine",
+    "[platform][entries]") {
   REQUIRE_THROWS_AS(platform::decodeReport(R"({"sequenceNumber":4})"),
                     DecodeError);
 }
 
-TEST_CASE("Times beyond all measure in a configuration are for ever",
+TEST_CASE("Durations out of range in a configuration are bounded",
           "[platform][entries]") {
   const ServingConfig Config = platform::decodeConfig(
       R"({"version":1,"services":[],
@@ -193,7 +195,7 @@
   REQUIRE(Config.m_Routes.front().m_Target == -LongestDuration);
 }
 
-TEST_CASE("What a cold server says wrongly is not taken for warm",
+TEST_CASE("An invalid header of a cold upstream does not make it count as warm",
           "[platform][entries]") {
   const PlatformBinding Binding = platform::makeBinding("");
   const std::string Text = GENERATE("", "soon", "-5", "99999999999999999999");
@@ -202,12 +204,13 @@
           .m_ColdFor);
 }
 
-TEST_CASE("Rubbish over a good entry takes one server away, and it comes back",
+TEST_CASE("An invalid value of an entry removes one upstream, and a valid one "
+          "restores it",
           "[gateway][platform][entries]") {
   GatewayTest Test;
-  const auto Answers = [](const StandinRunner::Request &Of,
-                          const StandinRunner::ConnectionPtr &To) {
-    To->write(StandinRunner::answer(Of, 200, "run"));
+  const auto Answers = [](const StandinRunner::Request &Received,
+                          const StandinRunner::ConnectionPtr &Connection) {
+    Connection->write(StandinRunner::answer(Received, 200, "run"));
   };
   Test.addRunner("i-1", Answers);
   Test.addRunner("i-2", Answers);
@@ -218,22 +221,22 @@
   REQUIRE(Test.until([&] { return Listed() == 2; }));
   Json Unnamed = Test.entry("i-1", "ready");
   Unnamed["service"] = "nobody's";
-  const std::vector<std::string> Rubbish{"\xff\xfe", R"({"state":[]})",
+  const std::vector<std::string> Invalid{"\xff\xfe", R"({"state":[]})",
                                          dumpJson(Test.entry("i-1", "asleep")),
                                          dumpJson(Unnamed)};
   const auto Index = GENERATE(range<std::size_t>(0, 4));
-  Test.m_Store.put("servers/i-1", Rubbish.at(Index));
-  const auto Away = [&] {
+  Test.m_Store.put("servers/i-1", Invalid.at(Index));
+  const auto Removed = [&] {
     const auto &All = Test.m_Gateway->state().m_Upstreams.current();
     const auto Found = All.find("i-1");
     return Found == All.end() || Found->second.m_Service != "s";
   };
-  REQUIRE(Test.until(Away));
+  REQUIRE(Test.until(Removed));
   for (int Number = 0; Number < 8; ++Number) {
     const std::string Id = "id-" + std::to_string(Number);
     REQUIRE(Test.fetch("/safe/x", Id).m_Status == 200);
   }
   REQUIRE(Test.m_Runners.at("i-1")->requests().empty());
   Test.list("i-1", "ready");
-  REQUIRE(Test.until([&] { return !Away(); }));
+  REQUIRE(Test.until([&] { return !Removed(); }));
 }
--- a/tests/gateway/EvacuationTest.cpp
+++ b/tests/gateway/EvacuationTest.cpp
@@ -16,13 +16,14 @@
 
 constexpr const char *KeyOfX = "op/evacuate/x";
 
-/// Boxes in the data centre x before one store, a runner in each of the data
+/// Boxes in the data centre x with one store, and a runner in each of the data
 /// centres x and y.
 class EvacuationTest : public GatewayTest {
 public:
   EvacuationTest() {
-    const auto Answers = [](const Request &Of, const ConnectionPtr &To) {
-      To->write(StandinRunner::answer(Of, 200, "body"));
+    const auto Answers = [](const Request &Received,
+                            const ConnectionPtr &Connection) {
+      Connection->write(StandinRunner::answer(Received, 200, "body"));
     };
     addRunner("i-x", Answers);
     addRunner("i-y", Answers);
@@ -44,7 +45,7 @@
     GatewayOptions Options = options();
     Options.m_DataCentre = DataCentreName("x");
     Options.m_Box = BoxName("box-" + std::to_string(10 + m_Started));
-    Options.m_Capacity = m_Started < Strong ? 0.5 : 0.12;
+    Options.m_Capacity = m_Started < LargeBoxes ? 0.5 : 0.12;
     Options.m_Bounds.m_Evacuation = 5s;
     ++m_Started;
     m_Boxes.push_back(makeGateway(Options, [] {}));
@@ -65,16 +66,17 @@
 
   std::size_t watching() const { return m_Store.watches("op/evacuate/"); }
 
-  std::vector<std::unique_ptr<Gateway>>::iterator giver() {
+  std::vector<std::unique_ptr<Gateway>>::iterator leader() {
     return std::find_if(m_Boxes.begin(), m_Boxes.end(),
                         [](const auto &Box) { return Box->givesOrders(); });
   }
 
-  /// Sends requests to \p Box. \returns how many of them i-x got.
+  /// Sends requests to \p Box. \returns how many of them the runner i-x
+  /// received.
   std::size_t sentToX(const Gateway &Box, int Requests = 12) {
     std::size_t Sum = 0;
     for (int Count = 0; Count < Requests; ++Count) {
-      const std::string Id = "r-" + std::to_string(++m_Sent);
+      const std::string Id = "r-" + std::to_string(++m_SentCount);
       CHECK(fetch(callTo(Box, "/safe/x", Id)).m_Status == 200);
       Sum += m_Runners.at("i-x")->arrivals(Id);
     }
@@ -84,24 +86,25 @@
   std::vector<std::unique_ptr<Gateway>> m_Boxes;
 
 private:
-  static constexpr std::size_t Strong = 3;
+  static constexpr std::size_t LargeBoxes = 3;
 
   std::size_t m_Started = 0;
-  int m_Sent = 0;
+  int m_SentCount = 0;
 };
 
-/// An engine that takes orders for models.
+/// An engine that loads and unloads models by orders.
 class ModelEngine {
 public:
   explicit ModelEngine(std::set<std::string> Models)
       : m_Models(std::move(Models)) {}
 
-  void serve(const Request &Of, const ConnectionPtr &To) {
-    if (Of.m_Target == "/v1/report")
-      return To->write(StandinRunner::answer(Of, 200, dumpJson(report())));
-    if (Of.m_Target == "/v1/order")
-      return order(Of, To);
-    To->write(StandinRunner::answer(Of, 200, "run"));
+  void serve(const Request &Received, const ConnectionPtr &Connection) {
+    if (Received.m_Target == "/v1/report")
+      return Connection->write(
+          StandinRunner::answer(Received, 200, dumpJson(report())));
+    if (Received.m_Target == "/v1/order")
+      return order(Received, Connection);
+    Connection->write(StandinRunner::answer(Received, 200, "run"));
   }
   std::size_t orders() const { return m_Orders; }
   bool holds(const std::string &Model) const {
@@ -118,17 +121,17 @@
             {"modelList", std::move(Models)}};
   }
 
-  void order(const Request &Of, const ConnectionPtr &To) {
-    const Json Order = parseJson(Of.m_Body);
+  void order(const Request &Received, const ConnectionPtr &Connection) {
+    const Json Order = parseJson(Received.m_Body);
     if (Order.at("expectedCount") != m_Orders)
-      return To->write(StandinRunner::answer(Of, 409, ""));
+      return Connection->write(StandinRunner::answer(Received, 409, ""));
     ++m_Orders;
     const std::string Model = Order.at("modelName").get<std::string>();
     if (Order.at("operation") == "model_load")
       m_Models.insert(Model);
     else
       m_Models.erase(Model);
-    To->write(StandinRunner::answer(Of, 202, ""));
+    Connection->write(StandinRunner::answer(Received, 202, ""));
   }
 
   std::set<std::string> m_Models;
@@ -137,8 +140,9 @@
 
 } // namespace
 
-TEST_CASE("No box sends to an evacuated data centre until it is taken back",
-          "[gateway][evacuation]") {
+TEST_CASE(
+    "No box sends to an evacuated data centre until the evacuation is revoked",
+    "[gateway][evacuation]") {
   EvacuationTest Test;
   Test.startBoxes(2);
   REQUIRE(Test.sentToX(*Test.m_Boxes[0]) > 0);
@@ -155,7 +159,7 @@
   REQUIRE(Test.sentToX(*Test.m_Boxes[0]) > 0);
 }
 
-TEST_CASE("An evacuation that was taken back and asked for anew holds",
+TEST_CASE("An evacuation that was revoked and requested again is in force",
           "[gateway][evacuation]") {
   EvacuationTest Test;
   Test.startBoxes(2);
@@ -177,7 +181,7 @@
 }
 
 TEST_CASE("An evacuation during an outage of the store is known once it is "
-          "back, and one before it holds all the while",
+          "over, and one from before stays in force during it",
           "[gateway][evacuation]") {
   EvacuationTest Test;
   Test.startBoxes(2);
@@ -195,19 +199,19 @@
   REQUIRE(Test.allKnow(true));
 }
 
-TEST_CASE("A box that starts knows the evacuations before it is ready",
+TEST_CASE("A box that starts knows the evacuations before it becomes ready",
           "[gateway][evacuation]") {
   EvacuationTest Test;
   Test.m_Store.put(KeyOfX, "{}");
   Test.startBoxes(1);
   REQUIRE(EvacuationTest::evacuated(*Test.m_Boxes[0]));
-  const Gateway &Joins = Test.startBox();
-  REQUIRE(Test.until([&] { return Joins.state().ready(); }));
-  REQUIRE(EvacuationTest::evacuated(Joins));
-  REQUIRE(Test.sentToX(Joins) == 0);
+  const Gateway &Joining = Test.startBox();
+  REQUIRE(Test.until([&] { return Joining.state().ready(); }));
+  REQUIRE(EvacuationTest::evacuated(Joining));
+  REQUIRE(Test.sentToX(Joining) == 0);
 }
 
-TEST_CASE("An evacuation is learned though the watch of evacuations is dead",
+TEST_CASE("An evacuation is noticed though its watch of the store is silent",
           "[gateway][evacuation]") {
   EvacuationTest Test;
   Test.startBoxes(3);
@@ -217,24 +221,26 @@
   REQUIRE(Test.allKnow(true));
 }
 
-TEST_CASE("In a large fleet one box watches the evacuations, and all follow",
-          "[gateway][fleet][evacuation]") {
+TEST_CASE(
+    "In a large fleet one box watches the evacuations, and all boxes learn "
+    "of them",
+    "[gateway][fleet][evacuation]") {
   EvacuationTest Test;
   Test.startBoxes(20);
   REQUIRE(Test.until([&] {
-    return Test.giver() != Test.m_Boxes.end() && Test.watching() == 1;
+    return Test.leader() != Test.m_Boxes.end() && Test.watching() == 1;
   }));
   Test.m_Store.put(KeyOfX, "{}");
   REQUIRE(Test.allKnow(true));
 
-  SECTION("a leaf that joins then, too") {
-    const Gateway &Joins = Test.startBox();
-    REQUIRE(Test.until([&] { return Joins.state().ready(); }));
-    REQUIRE(EvacuationTest::evacuated(Joins));
+  SECTION("a leaf that joins later, too") {
+    const Gateway &Joining = Test.startBox();
+    REQUIRE(Test.until([&] { return Joining.state().ready(); }));
+    REQUIRE(EvacuationTest::evacuated(Joining));
   }
-  SECTION("also when the one that gives orders is replaced") {
-    Test.m_Boxes.erase(Test.giver());
-    REQUIRE(Test.until([&] { return Test.giver() != Test.m_Boxes.end(); }));
+  SECTION("also when the leader is replaced") {
+    Test.m_Boxes.erase(Test.leader());
+    REQUIRE(Test.until([&] { return Test.leader() != Test.m_Boxes.end(); }));
     REQUIRE(Test.allKnow(true));
     Test.m_Store.remove(KeyOfX);
     REQUIRE(Test.allKnow(false));
@@ -242,8 +248,9 @@
   }
 }
 
-TEST_CASE("Where operators do not evacuate, nobody asks the store for it",
-          "[gateway][evacuation]") {
+TEST_CASE(
+    "A box does not watch evacuations where operators have not enabled them",
+    "[gateway][evacuation]") {
   EvacuationTest Test;
   Test.start();
   REQUIRE(Test.m_Gateway->state().ready());
@@ -261,7 +268,7 @@
   REQUIRE(Test.until([&] {
     return !Test.m_Boxes[0]->state().m_Upstreams.current().contains("i-y");
   }));
-  // i-y may be used for a moment after it left.
+  // i-y may still be used for a short time after its entry is removed.
   Test.wait(500ms);
   const HttpAnswer Answer =
       Test.fetch(EvacuationTest::callTo(*Test.m_Boxes[0], "/unsafe/x", "id"));
@@ -270,18 +277,20 @@
 }
 
 TEST_CASE(
-    "A model of an evacuated data centre is loaded elsewhere, and nothing "
-    "is loaded there",
+    "A model of an evacuated data centre is loaded in another one, and no "
+    "model is loaded there",
     "[gateway][orders][evacuation]") {
   EvacuationTest Test;
-  ModelEngine There({"m"});
-  ModelEngine Elsewhere({});
-  Test.addRunner("e-x", [&](const Request &Of, const ConnectionPtr &To) {
-    There.serve(Of, To);
-  });
-  Test.addRunner("e-y", [&](const Request &Of, const ConnectionPtr &To) {
-    Elsewhere.serve(Of, To);
-  });
+  ModelEngine Evacuated({"m"});
+  ModelEngine Other({});
+  Test.addRunner("e-x",
+                 [&](const Request &Received, const ConnectionPtr &Connection) {
+                   Evacuated.serve(Received, Connection);
+                 });
+  Test.addRunner("e-y",
+                 [&](const Request &Received, const ConnectionPtr &Connection) {
+                   Other.serve(Received, Connection);
+                 });
   Test.listEngine("e-x", {"m"}, 0, "x");
   Test.listEngine("e-y", {}, 0, "y");
   Test.configureEngines(Test.route("llm", "unsafe"),
@@ -302,15 +311,15 @@
   };
   REQUIRE(Test.until([&] { return Box.givesOrders(); }));
   REQUIRE(Served());
-  const std::size_t Before = There.orders();
+  const std::size_t Before = Evacuated.orders();
   Test.m_Store.put(KeyOfX, "{}");
   REQUIRE(Test.allKnow(true));
-  bool Again = false;
-  for (int Tries = 0; !Again && Tries < 2000; ++Tries)
-    Again = Served();
-  REQUIRE(Again);
-  CHECK(Elsewhere.holds("m"));
-  CHECK(There.orders() == Before);
+  bool ServedAgain = false;
+  for (int Tries = 0; !ServedAgain && Tries < 2000; ++Tries)
+    ServedAgain = Served();
+  REQUIRE(ServedAgain);
+  CHECK(Other.holds("m"));
+  CHECK(Evacuated.orders() == Before);
 
   Test.m_Store.remove(KeyOfX);
   REQUIRE(Test.allKnow(false));
--- a/tests/gateway/ForwardingTest.cpp
+++ b/tests/gateway/ForwardingTest.cpp
@@ -7,22 +7,26 @@
 using Request = StandinRunner::Request;
 using ConnectionPtr = StandinRunner::ConnectionPtr;
 
-void answerWell(const Request &Of, const ConnectionPtr &To) {
-  To->write(StandinRunner::answer(Of, 200, "body of " + Of.m_Target));
+void answerWell(const Request &Received, const ConnectionPtr &Connection) {
+  Connection->write(
+      StandinRunner::answer(Received, 200, "body of " + Received.m_Target));
 }
 
-void rejectIt(const Request &Of, const ConnectionPtr &To) {
-  To->write(
-      StandinRunner::answer(Of, 503, "", "X-Request-Not-Executed: 1\r\n"));
+void rejectIt(const Request &Received, const ConnectionPtr &Connection) {
+  Connection->write(StandinRunner::answer(Received, 503, "",
+                                          "X-Request-Not-Executed: 1\r\n"));
 }
 
-void resetIt(const Request &, const ConnectionPtr &To) { To->reset(); }
+void resetIt(const Request &, const ConnectionPtr &Connection) {
+  Connection->reset();
+}
 
 } // namespace
 
-TEST_CASE("A request reaches a runner as it was sent, and its answer comes "
-          "back as it was given",
-          "[gateway]") {
+TEST_CASE(
+    "A request reaches a runner unchanged, and its answer reaches the caller "
+    "unchanged",
+    "[gateway]") {
   GatewayTest Test;
   StandinRunner &Runner = Test.addRunner("i-1", answerWell);
   Test.start();
@@ -45,7 +49,7 @@
   REQUIRE(Left > 0);
 }
 
-TEST_CASE("An unsafe request is not sent again once it may have run",
+TEST_CASE("An unsafe request is not repeated once it may have run",
           "[gateway][unsafe]") {
   GatewayTest Test;
   Test.addRunner("i-1", resetIt);
@@ -57,14 +61,16 @@
   REQUIRE(Test.arrivals("id-1") == 1);
 }
 
-TEST_CASE("A safe request is sent elsewhere when its answer is lost",
-          "[gateway]") {
+TEST_CASE(
+    "A safe request is repeated at another runner when its answer is lost",
+    "[gateway]") {
   GatewayTest Test;
   int Resets = 0;
-  const auto FirstLost = [&](const Request &Of, const ConnectionPtr &To) {
+  const auto FirstLost = [&](const Request &Received,
+                             const ConnectionPtr &Connection) {
     if (Resets++ == 0)
-      return To->reset();
-    answerWell(Of, To);
+      return Connection->reset();
+    answerWell(Received, Connection);
   };
   Test.addRunner("i-1", FirstLost);
   Test.addRunner("i-2", FirstLost);
@@ -73,13 +79,14 @@
   REQUIRE(Test.arrivals("id-1") == 2);
 }
 
-TEST_CASE("A runner's word that it did not run a request lets it go elsewhere",
-          "[gateway][unsafe]") {
+TEST_CASE(
+    "A request that a runner states not to have run is sent to another one",
+    "[gateway][unsafe]") {
   GatewayTest Test;
   Test.addRunner("i-1", rejectIt);
   Test.addRunner("i-2", rejectIt);
   Test.start();
-  SECTION("and to the caller when nobody runs it, with when to come back") {
+  SECTION("and refused with a retry time when no runner runs it") {
     const HttpAnswer Answer = Test.fetch("/unsafe/x", "id-1");
     REQUIRE(Answer.m_Status == 503);
     REQUIRE_FALSE(findHeader(Answer.m_Headers, "Retry-After").empty());
@@ -92,25 +99,30 @@
   }
 }
 
-TEST_CASE("A refusal that does not say that nothing ran is no promise",
-          "[gateway][unsafe]") {
+TEST_CASE(
+    "A refusal that does not state that the request was not run is passed on "
+    "as a failure",
+    "[gateway][unsafe]") {
   GatewayTest Test;
   const int Status = GENERATE(503, 429, 408);
-  Test.addRunner("i-1", [&](const Request &Of, const ConnectionPtr &To) {
-    To->write(StandinRunner::answer(Of, Status, ""));
-  });
+  Test.addRunner(
+      "i-1", [&](const Request &Received, const ConnectionPtr &Connection) {
+        Connection->write(StandinRunner::answer(Received, Status, ""));
+      });
   Test.start();
   const HttpAnswer Answer = Test.fetch("/unsafe/x", "id-1");
   REQUIRE(Answer.m_Status == 502);
   REQUIRE(findHeader(Answer.m_Headers, "X-Server-Signature").empty());
 }
 
-TEST_CASE("A runner's failure goes back with its status and signature",
+TEST_CASE("A failure that a runner answers is passed on with its status and "
+          "signature",
           "[gateway]") {
   GatewayTest Test;
-  Test.addRunner("i-1", [](const Request &Of, const ConnectionPtr &To) {
-    To->write(StandinRunner::answer(Of, 500, "broken"));
-  });
+  Test.addRunner(
+      "i-1", [](const Request &Received, const ConnectionPtr &Connection) {
+        Connection->write(StandinRunner::answer(Received, 500, "broken"));
+      });
   Test.start();
   const HttpAnswer Answer = Test.fetch("/unsafe/x", "id-1");
   REQUIRE(Answer.m_Status == 500);
@@ -118,26 +130,27 @@
   REQUIRE(findHeader(Answer.m_Headers, "X-Server-Signature") == "signed");
 }
 
-TEST_CASE("An answer to another request reaches nobody", "[gateway][mixed]") {
+TEST_CASE("An answer to another request reaches no caller",
+          "[gateway][mixed]") {
   GatewayTest Test;
-  Test.addRunner("i-1", [](const Request &Of, const ConnectionPtr &To) {
-    Request Other = Of;
-    Other.m_Headers["x-attempt-id"] = "another";
-    To->write(StandinRunner::answer(Other, 200, "not yours"));
-  });
+  Test.addRunner(
+      "i-1", [](const Request &Received, const ConnectionPtr &Connection) {
+        Request Other = Received;
+        Other.m_Headers["x-attempt-id"] = "another";
+        Connection->write(StandinRunner::answer(Other, 200, "not yours"));
+      });
   Test.start();
   const HttpAnswer Answer = Test.fetch("/unsafe/x", "id-1");
   REQUIRE(Answer.m_Status == 502);
   REQUIRE(Answer.m_Body.find("not yours") == std::string::npos);
 }
 
-TEST_CASE("Bytes behind a whole answer are read by nobody",
-          "[gateway][mixed]") {
+TEST_CASE("Bytes after a complete answer reach no caller", "[gateway][mixed]") {
   GatewayTest Test;
-  StandinRunner &Runner =
-      Test.addRunner("i-1", [](const Request &Of, const ConnectionPtr &To) {
-        To->write(StandinRunner::answer(Of, 200, "mine") +
-                  StandinRunner::answer(Of, 200, "surplus"));
+  StandinRunner &Runner = Test.addRunner(
+      "i-1", [](const Request &Received, const ConnectionPtr &Connection) {
+        Connection->write(StandinRunner::answer(Received, 200, "mine") +
+                          StandinRunner::answer(Received, 200, "surplus"));
       });
   Test.start();
   for (int Number = 0; Number < 3; ++Number)
@@ -146,7 +159,7 @@
   REQUIRE(Runner.accepted() == 3);
 }
 
-TEST_CASE("A kept connection serves the next request", "[gateway]") {
+TEST_CASE("A connection is reused for the next request", "[gateway]") {
   GatewayTest Test;
   StandinRunner &Runner = Test.addRunner("i-1", answerWell);
   Test.start();
@@ -156,19 +169,23 @@
   REQUIRE(Runner.accepted() == 1);
 }
 
-TEST_CASE("An answer without a length is whole only when its connection ends "
-          "in order",
-          "[gateway][mixed]") {
+TEST_CASE(
+    "An answer without a length is complete only if its connection is closed "
+    "without a reset",
+    "[gateway][mixed]") {
   GatewayTest Test;
   const bool Reset = GENERATE(false, true);
-  Test.addRunner("i-1", [&](const Request &Of, const ConnectionPtr &To) {
-    To->write("HTTP/1.1 200 OK\r\nX-Attempt-Id: " + Of.header("x-attempt-id") +
-              "\r\nX-Server-Signature: signed\r\n\r\nhalf");
+  Test.addRunner("i-1", [&](const Request &Received,
+                            const ConnectionPtr &Connection) {
+    Connection->write(
+        "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + Received.header("x-attempt-id") +
+        "\r\nX-Server-Signature: signed\r\n\r\nhalf");
     if (!Reset)
-      return To->close();
-    // The bytes are to arrive before the reset does.
-    Test.m_Loop.defer(
-        [&Test, To] { Test.m_Loop.defer([To] { To->reset(); }); });
+      return Connection->close();
+    // The bytes must arrive before the reset.
+    Test.m_Loop.defer([&Test, Connection] {
+      Test.m_Loop.defer([Connection] { Connection->reset(); });
+    });
   });
   Test.start();
   const HttpAnswer Answer = Test.fetch("/unsafe/x", "id-1");
@@ -176,7 +193,7 @@
   REQUIRE((Answer.m_Body == "half") == !Reset);
 }
 
-TEST_CASE("Requests with two readings are turned away and their connection "
+TEST_CASE("Requests with ambiguous framing are rejected and their connection "
           "closed",
           "[gateway][mixed]") {
   GatewayTest Test;
@@ -222,7 +239,7 @@
   REQUIRE(Answer.find("HTTP/1.1 200") == std::string::npos);
 }
 
-TEST_CASE("A caller that leaves ends its run", "[gateway][gone]") {
+TEST_CASE("A caller that disconnects cancels its request", "[gateway][gone]") {
   GatewayTest Test;
   StandinRunner &Runner =
       Test.addRunner("i-1", [](const Request &, const ConnectionPtr &) {});
@@ -236,7 +253,7 @@
   REQUIRE(Test.until([&] { return Test.m_Gateway->openRequests() == 0; }));
 }
 
-TEST_CASE("A request gets its answer when its route's time is over",
+TEST_CASE("A request is answered at the timeout of its route",
           "[gateway][timeout]") {
   GatewayTest Test;
   Test.m_TimeoutMs = 100;
@@ -246,18 +263,19 @@
 }
 
 TEST_CASE(
-    "A runner that turned a request away gets the next on a new connection",
+    "A runner that rejected a request gets the next one on a new connection",
     "[gateway]") {
   GatewayTest Test;
   std::vector<ConnectionPtr> Used;
   bool Full = false;
-  Test.addRunner("i-1", [&](const Request &Of, const ConnectionPtr &To) {
-    Used.push_back(To);
+  Test.addRunner("i-1", [&](const Request &Received,
+                            const ConnectionPtr &Connection) {
+    Used.push_back(Connection);
     if (Full)
-      To->write(StandinRunner::answer(Of, 503, "full",
-                                      "X-Request-Not-Executed: 1\r\n"));
+      Connection->write(StandinRunner::answer(Received, 503, "full",
+                                              "X-Request-Not-Executed: 1\r\n"));
     else
-      To->write(StandinRunner::answer(Of, 200, "body"));
+      Connection->write(StandinRunner::answer(Received, 200, "body"));
   });
   Test.start();
   REQUIRE(Test.fetch("/safe/x", "id-1").m_Status == 200);
--- a/tests/gateway/OrganisationTest.cpp
+++ b/tests/gateway/OrganisationTest.cpp
@@ -17,19 +17,20 @@
 const std::string GymKey = "gym-secret-key";
 const std::string DeskKey = "desk-secret-key";
 
-void answerWell(const Request &Of, const ConnectionPtr &To) {
-  To->write(StandinRunner::answer(Of, 200, "body"));
+void answerWell(const Request &Received, const ConnectionPtr &Connection) {
+  Connection->write(StandinRunner::answer(Received, 200, "body"));
 }
 
-/// A gateway whose log can be read, before one runner, with two organisations.
+/// A gateway with a readable log, one runner and two organisations.
 class OrganisationTest : public GatewayTest {
 public:
-  explicit OrganisationTest(double GymTokensPerS = 0) {
+  explicit OrganisationTest(double GymTokensPerSecond = 0) {
     std::string Path = "/tmp/havenstair-log-XXXXXX";
     m_LogDescriptor = mkstemp(Path.data());
     m_LogPath = Path;
-    m_Organisations = Json::array({organisation("gym", GymKey, GymTokensPerS),
-                                   organisation("desk", DeskKey)});
+    m_Organisations =
+        Json::array({organisation("gym", GymKey, GymTokensPerSecond),
+                     organisation("desk", DeskKey)});
     m_Runner = &addRunner("i-1", answerWell);
     configureWithPublic(1);
     startGateway();
@@ -63,9 +64,10 @@
 
 } // namespace
 
-TEST_CASE("A request runs for the organisation that has its key, which the "
-          "runner never sees",
-          "[gateway][keys]") {
+TEST_CASE(
+    "A request runs for the organisation that has its key, and the runner "
+    "does not see the key",
+    "[gateway][keys]") {
   OrganisationTest Test;
   const std::string Spelling =
       GENERATE("X-Tenant-Name", "x-tenant-name", "X-TENANT-NAME");
@@ -77,22 +79,23 @@
   REQUIRE(Seen.header("api-key").empty());
 }
 
-TEST_CASE("What has no key, or one that nobody has, gets 401 and runs nowhere",
-          "[gateway][keys]") {
+TEST_CASE(
+    "A request without a key, or with an unknown one, gets 401 and is not run",
+    "[gateway][keys]") {
   OrganisationTest Test;
-  const auto Given = GENERATE(
+  const auto Credentials = GENERATE(
       HttpHeaders{}, HttpHeaders{{"Api-Key", "other"}},
       HttpHeaders{{"Api-Key", ""}}, HttpHeaders{{"Api-Key", "GYM-SECRET-KEY"}},
       HttpHeaders{{"Api-Key", std::string(5000, 'k')}},
       HttpHeaders{{"Api-Key", GymKey}, {"api-key", DeskKey}},
       HttpHeaders{{"Api-Key", GymKey}, {"Api-Key", GymKey}},
       HttpHeaders{{"X-Tenant-Name", "gym"}});
-  const HttpAnswer Answer = Test.fetchWith("/safe/x", "id-1", Given);
+  const HttpAnswer Answer = Test.fetchWith("/safe/x", "id-1", Credentials);
   REQUIRE(Answer.m_Status == 401);
   REQUIRE(Test.arrivals("id-1") == 0);
 }
 
-TEST_CASE("A public route asks for no key, and names nobody",
+TEST_CASE("A public route needs no key, and passes no organisation on",
           "[gateway][keys]") {
   OrganisationTest Test;
   REQUIRE(Test.fetchWith("/public/x", "id-1", {{"X-Tenant-Name", "gym"}})
@@ -133,7 +136,7 @@
   REQUIRE(Seen.find(std::string(100, 's')) == std::string::npos);
 }
 
-TEST_CASE("Token counts that are none are refused", "[gateway][quota]") {
+TEST_CASE("Invalid token counts are refused", "[gateway][quota]") {
   OrganisationTest Test(1000000);
   const std::string Counts = GENERATE("-5,10", "5,-10", "many", "5,", "1e3,4",
                                       "99999999999,1", "0,0", "5,6,7", "0");
@@ -143,16 +146,17 @@
   REQUIRE(Test.arrivals("id-1") == 0);
 }
 
-TEST_CASE("A key that was taken away gets nothing sent any more, also again",
+TEST_CASE("A request whose key is revoked is not sent again",
           "[gateway][keys]") {
   OrganisationTest Test;
   ConnectionPtr Held;
   Request First;
-  Test.addRunner("i-2", [&](const Request &Of, const ConnectionPtr &To) {
-    First = Of;
-    Held = To;
-  });
-  // Only the one that holds the request is there at first.
+  Test.addRunner("i-2",
+                 [&](const Request &Received, const ConnectionPtr &Connection) {
+                   First = Received;
+                   Held = Connection;
+                 });
+  // Only the runner that holds the request back is listed at first.
   Test.m_Store.remove("servers/i-1");
   REQUIRE(Test.until([&] {
     const auto &Known = Test.m_Gateway->state().m_Upstreams.current();
@@ -184,8 +188,9 @@
           401);
 }
 
-TEST_CASE("Where operators ask for it, keys are not trusted without the store",
-          "[gateway][keys]") {
+TEST_CASE(
+    "With fail-closed, keys are not accepted while the store is unreachable",
+    "[gateway][keys]") {
   const bool FailClosed = GENERATE(true, false);
   GatewayTest Test;
   Test.m_Organisations =
@@ -212,10 +217,9 @@
       [&] { return Status("back-" + std::to_string(++Tries)) == 200; }));
 }
 
-TEST_CASE(
-    "What exceeds the quota gets 429 and the time to come back, and takes "
-    "nothing from others",
-    "[gateway][quota]") {
+TEST_CASE("A request beyond the quota gets 429 and a retry time, and does not "
+          "affect other organisations",
+          "[gateway][quota]") {
   OrganisationTest Test(10000);
   Test.wait(1200ms);
   int Granted = 0;
@@ -235,7 +239,7 @@
   }
   REQUIRE(Test.until([&] { return Done == 100; }));
   const double Seconds = inSeconds(EventLoop::now() - Start);
-  // One second's burst, what came while the test ran, and the last request.
+  // The burst of one second, the rate while the test ran, and the last request.
   REQUIRE(Granted >= 10);
   REQUIRE(Granted <= 10 + 10 * Seconds + 1);
   REQUIRE(Refused.m_Status == 429);
@@ -244,10 +248,12 @@
               .m_Status == 200);
 }
 
-TEST_CASE("What reaches no runner costs no quota", "[gateway][quota]") {
+TEST_CASE("A request that reaches no runner costs no quota",
+          "[gateway][quota]") {
   OrganisationTest Test(10000);
   Test.wait(1200ms);
-  // It takes no connections: each request is refused, and nothing has run.
+  // The runner accepts no connections, so each request is refused without
+  // having run.
   Test.m_Runner->stopListening();
   for (int Number = 0; Number < 60; ++Number) {
     const HttpAnswer Answer =
@@ -259,7 +265,7 @@
 
 namespace {
 
-/// More boxes than a full mesh is made for, with one limited organisation.
+/// More boxes than a full mesh supports, and one organisation with a quota.
 class QuotaFleetTest : public GatewayTest {
 public:
   static constexpr std::size_t Boxes = 20;
@@ -281,12 +287,12 @@
       return std::all_of(m_Boxes.begin(), m_Boxes.end(),
                          [](const auto &Box) { return Box->state().ready(); });
     }));
-    // The buckets fill within a second of the first words.
+    // The token buckets fill within a second of the first reports.
     wait(5s);
   }
 
-  /// Sends \p Count requests through all boxes in turn, at once.
-  /// \returns how many of them were answered by the runner.
+  /// Sends \p Count requests at once, through all boxes in turn.
+  /// \returns how many of them the runner answered.
   int flood(int Count) {
     int Done = 0;
     int Granted = 0;
@@ -315,10 +321,10 @@
 
 } // namespace
 
-TEST_CASE("Boxes of a large fleet keep one quota together",
-          "[gateway][quota]") {
+TEST_CASE("Boxes of a large fleet share one quota", "[gateway][quota]") {
   QuotaFleetTest Test;
-  SECTION("a flood through all boxes gets the quota, not each box's own") {
+  SECTION(
+      "a flood through all boxes gets the quota once, not once for each box") {
     const TimePoint Start = EventLoop::now();
     const int Granted = Test.flood(600);
     const double Seconds = inSeconds(EventLoop::now() - Start);
@@ -330,15 +336,15 @@
   SECTION("requests within the quota are served through any box") {
     REQUIRE(Test.flood(15) == 15);
   }
-  SECTION("also when a box that counts is gone") {
+  SECTION("also when a box that shares the quota has stopped") {
     Test.m_Boxes[0].reset();
     Test.wait(2s);
-    // One in twenty went to the box that is gone.
+    // One in twenty went to the box that has stopped.
     REQUIRE(Test.flood(20) == 19);
   }
 }
 
-TEST_CASE("Large configurations are read without much time or memory",
+TEST_CASE("A configuration with 1000 organisations is decoded and indexed",
           "[gateway][keys]") {
   Json Organisations = Json::array();
   for (int Number = 0; Number < 1000; ++Number)
--- a/tests/gateway/PaceTest.cpp
+++ b/tests/gateway/PaceTest.cpp
@@ -29,52 +29,53 @@
     Call.m_Headers.push_back({"X-Model-Name", Model});
     Call.m_Headers.push_back({"X-Token-Counts", "5000,10"});
     m_Http.fetch(std::move(Call), [this, Id](const HttpAnswer &Answer) {
-      m_Whole += Answer.m_End == HttpEnd::Complete ? 1 : 0;
+      m_Complete += Answer.m_End == HttpEnd::Complete ? 1 : 0;
       m_Status[Id] = Answer.m_Status;
     });
   }
 
-  int m_Whole = 0;                     ///< Whole answers.
-  std::map<std::string, int> m_Status; ///< Of the answer to each request.
-  Timer m_Reading;                     ///< Ends before its loop does.
+  int m_Complete = 0;                  ///< Number of complete answers.
+  std::map<std::string, int> m_Status; ///< Status of each answer, by request.
+  Timer m_Reading;                     ///< Is destroyed before its loop.
 };
 
-void streamOne(const Request &Of, const ConnectionPtr &To) {
-  To->write(StandinRunner::streamHead(Of));
-  To->write(StandinRunner::event(1));
-  To->write(StandinRunner::streamEnd());
+void streamOne(const Request &Received, const ConnectionPtr &Connection) {
+  Connection->write(StandinRunner::streamHead(Received));
+  Connection->write(StandinRunner::event(1));
+  Connection->write(StandinRunner::streamEnd());
 }
 
 } // namespace
 
-TEST_CASE("A prompt is not sent beside another that the engine still reads",
+TEST_CASE("A prompt is not sent while the engine still processes another",
           "[gateway][pace]") {
-  std::optional<bool> BesideFirst;
+  std::optional<bool> SentDuringFirst;
   PaceTest *Running = nullptr;
-  PaceTest Test([&](const Request &Of, const ConnectionPtr &To) {
-    if (Of.header("x-attempt-id") != "id-1")
-      return streamOne(Of, To);
-    Running->m_Reading = Running->m_Loop.after(100ms, [&, Of, To] {
-      BesideFirst = Running->arrivals("id-2") > 0;
-      streamOne(Of, To);
-    });
+  PaceTest Test([&](const Request &Received, const ConnectionPtr &Connection) {
+    if (Received.header("x-attempt-id") != "id-1")
+      return streamOne(Received, Connection);
+    Running->m_Reading =
+        Running->m_Loop.after(100ms, [&, Received, Connection] {
+          SentDuringFirst = Running->arrivals("id-2") > 0;
+          streamOne(Received, Connection);
+        });
   });
   Running = &Test;
   Test.ask("id-1");
   REQUIRE(Test.until([&] { return Test.arrivals("id-1") == 1; }));
   Test.ask("id-2");
-  REQUIRE(Test.until([&] { return Test.m_Whole == 2; }));
-  REQUIRE(BesideFirst == false);
+  REQUIRE(Test.until([&] { return Test.m_Complete == 2; }));
+  REQUIRE(SentDuringFirst == false);
 }
 
-TEST_CASE("A request whose model goes while it waits for its pace is refused",
+TEST_CASE("A request whose model is unloaded while pacing delays it is refused",
           "[gateway][pace]") {
-  // The engine reads the first prompt for ever.
+  // The engine never finishes the first prompt.
   PaceTest Test([](const Request &, const ConnectionPtr &) {}, 10000);
   Test.ask("id-1");
   REQUIRE(Test.until([&] { return Test.arrivals("id-1") == 1; }));
   Test.ask("id-2", "n");
-  // Answered after the request before it was taken.
+  // An answer shows that the box has accepted the request before it.
   REQUIRE(Test.fetch("/elsewhere/x", "id-3").m_Status == 404);
   const auto Holds = [&] {
     const UpstreamInstance *Engine =
