--- a/tests/gateway/RegionTest.cpp
+++ b/tests/gateway/RegionTest.cpp
@@ -11,13 +11,13 @@
 using Request = StandinRunner::Request;
 using ConnectionPtr = StandinRunner::ConnectionPtr;
 
-void answerWell(const Request &Of, const ConnectionPtr &To) {
-  To->write(StandinRunner::answer(Of, 200, "body"));
+void answerWell(const Request &Received, const ConnectionPtr &Connection) {
+  Connection->write(StandinRunner::answer(Received, 200, "body"));
 }
 
-/// A gateway in the north, before a server in the north, one in the south and
-/// one in a data centre without a region; each organisation has its name as
-/// its key.
+/// A gateway in the region n with a runner there, one in the region south and
+/// one in a data centre without a region. The key of each organisation is its
+/// name.
 class RegionTest : public GatewayTest {
 public:
   RegionTest() {
@@ -40,7 +40,8 @@
     list(Id, "ready", Zone);
   }
 
-  /// All routes may be served in \p Regions.
+  /// Puts a configuration into the store in which all routes may be served in
+  /// \p Regions.
   void configureRegions(std::uint64_t Version, const Json &Regions) {
     Json Routes = Json::array();
     for (const char *Kind : {"safe", "unsafe"})
@@ -61,7 +62,7 @@
     startWith();
   }
 
-  /// Starts with the configuration of the store.
+  /// Starts the gateway with the configuration in the store.
   void startWith() {
     GatewayOptions Options = options();
     Options.m_Regions =
@@ -89,18 +90,20 @@
     return Text.str();
   }
 
-  /// Whichever server gets a request does \p First; the regions change to
-  /// \p Regions, and when the gateway knows of it the connection breaks.
+  /// Makes all runners react to a request with \p First, change the allowed
+  /// regions to \p Regions, and close the connection once the gateway has the
+  /// change.
   void changeOnArrival(const Json &Regions,
                        const StandinRunner::Behaviour &First) {
     for (const auto &[Id, Runner] : m_Runners)
       Runner->setBehaviour(
-          [this, Regions, First](const Request &Of, const ConnectionPtr &To) {
-            First(Of, To);
+          [this, Regions, First](const Request &Received,
+                                 const ConnectionPtr &Connection) {
+            First(Received, Connection);
             configureRegions(2, Regions);
-            m_Poll = m_Loop.every(5ms, [this, To] {
+            m_Poll = m_Loop.every(5ms, [this, Connection] {
               if (m_Gateway->state().configVersion() >= 2)
-                To->close();
+                Connection->close();
             });
           });
   }
@@ -110,15 +113,15 @@
 };
 
 std::string retryAfter(const HttpAnswer &Answer) {
-  for (const auto &Each : Answer.m_Headers)
-    if (Each.m_Name == "Retry-After")
-      return Each.m_Value;
+  for (const auto &Header : Answer.m_Headers)
+    if (Header.m_Name == "Retry-After")
+      return Header.m_Value;
   return "";
 }
 
 } // namespace
 
-TEST_CASE("A route with regions is served there only, however far that is",
+TEST_CASE("A route with regions is served only there, even if they are distant",
           "[gateway][regions]") {
   RegionTest Test;
   Test.startIn(Json::array({"south"}));
@@ -131,21 +134,22 @@
   }
 }
 
-TEST_CASE("Route and organisation bind together", "[gateway][regions]") {
+TEST_CASE("A request is served only where route and organisation both allow it",
+          "[gateway][regions]") {
   RegionTest Test;
-  SECTION("what both allow") {
+  SECTION("in a region that both allow") {
     Test.startIn(Json::array({"n", "south"}));
     REQUIRE(Test.fetchFor("southern", "/unsafe/x", "id-1").m_Status == 200);
     REQUIRE(Test.at("south", "id-1") == 1);
   }
-  SECTION("the organisation alone") {
+  SECTION("where only the organisation names regions") {
     Test.startIn(Json::array());
     REQUIRE(Test.fetchFor("southern", "/unsafe/x", "id-1").m_Status == 200);
     REQUIRE(Test.at("south", "id-1") == 1);
     REQUIRE(Test.fetchFor("anywhere", "/unsafe/x", "id-2").m_Status == 200);
     REQUIRE(Test.at("south", "id-2") == 0);
   }
-  SECTION("nothing in common is refused at once, and runs nowhere") {
+  SECTION("without a common region it is refused at once and not run") {
     Test.startIn(Json::array({"n"}));
     const HttpAnswer Answer = Test.fetchFor("southern", "/unsafe/x", "id-1");
     REQUIRE(Answer.m_Status == 503);
@@ -165,8 +169,9 @@
   }
 }
 
-TEST_CASE("Where no server is in an allowed region, callers are told at once",
-          "[gateway][regions]") {
+TEST_CASE(
+    "A request is refused at once when no upstream is in an allowed region",
+    "[gateway][regions]") {
   RegionTest Test;
   Test.startIn(Json::array({"west"}));
   const HttpAnswer Answer = Test.fetchFor("anywhere", "/unsafe/x", "id-1");
@@ -176,37 +181,39 @@
   REQUIRE(Test.arrivals("id-1") == 0);
 }
 
-TEST_CASE("Regions that change between two sends bind the second one",
+TEST_CASE("Regions that change between two sends apply to the second one",
           "[gateway][regions]") {
   RegionTest Test;
   Test.startIn(Json::array());
   const bool Same = GENERATE(true, false);
-  Test.changeOnArrival(
-      Same ? Json::array() : Json::array({"west"}),
-      [](const Request & /*Of*/, const ConnectionPtr & /*To*/) {});
+  Test.changeOnArrival(Same ? Json::array() : Json::array({"west"}),
+                       [](const Request & /*Received*/,
+                          const ConnectionPtr & /*Connection*/) {});
   REQUIRE(Test.fetchFor("anywhere", "/safe/x", "id-1").m_Status == 502);
   REQUIRE(Test.arrivals("id-1") == (Same ? 2 : 1));
 }
 
-TEST_CASE("A stream is not resumed where it may no longer be served",
+TEST_CASE("A stream is not resumed in a region that is no longer allowed",
           "[gateway][regions]") {
   RegionTest Test;
   Test.startIn(Json::array());
   const bool Same = GENERATE(true, false);
-  Test.changeOnArrival(Same ? Json::array() : Json::array({"west"}),
-                       [](const Request &Of, const ConnectionPtr &To) {
-                         To->write(StandinRunner::streamHead(Of) +
-                                   StandinRunner::event(1));
-                       });
+  Test.changeOnArrival(
+      Same ? Json::array() : Json::array({"west"}),
+      [](const Request &Received, const ConnectionPtr &Connection) {
+        Connection->write(StandinRunner::streamHead(Received) +
+                          StandinRunner::event(1));
+      });
   const HttpAnswer Answer = Test.fetchFor("anywhere", "/resumable/x", "id-1");
   REQUIRE(Answer.m_End == HttpEnd::Broken);
   REQUIRE(Test.arrivals("id-1") == (Same ? 2 : 1));
 }
 
-TEST_CASE("Regions that change while a request waits bind it",
+TEST_CASE("Regions that change while a request waits apply to it",
           "[gateway][regions]") {
   RegionTest Test;
-  // It waits for word of a load of its model; meanwhile nothing is left.
+  // The request waits to learn of a load of its model; meanwhile the
+  // configuration changes so that no upstream is in an allowed region.
   Test.m_Organisations = Json::array();
   const auto Configure = [&](std::uint64_t Version, const char *Region) {
     Json Route = Test.route("llm", "streaming", true);
@@ -231,8 +238,8 @@
   Call.m_Headers.push_back({"X-Model-Name", "m"});
   HttpAnswer Answer;
   bool Done = false;
-  Test.m_Http.fetch(std::move(Call), [&](HttpAnswer Given) {
-    Answer = std::move(Given);
+  Test.m_Http.fetch(std::move(Call), [&](HttpAnswer Received) {
+    Answer = std::move(Received);
     Done = true;
   });
   REQUIRE(
--- a/tests/gateway/StreamTest.cpp
+++ b/tests/gateway/StreamTest.cpp
@@ -17,27 +17,30 @@
   return Text;
 }
 
-/// Streams the pieces after `Last-Event-Id`, and breaks off after \p Until.
-void streamUntil(const Request &Of, const ConnectionPtr &To, int Until) {
-  const std::string After = Of.header("last-event-id");
+/// Streams the pieces after `Last-Event-Id` up to \p Until, then breaks off if
+/// it is not the last one.
+void streamUntil(const Request &Received, const ConnectionPtr &Connection,
+                 int Until) {
+  const std::string After = Received.header("last-event-id");
   const int First = After.empty() ? 1 : std::stoi(After) + 1;
-  To->write(StandinRunner::streamHead(Of));
+  Connection->write(StandinRunner::streamHead(Received));
   for (int Id = First; Id <= Until; ++Id)
-    To->write(StandinRunner::event(Id));
+    Connection->write(StandinRunner::event(Id));
   if (Until == Pieces)
-    return To->write(StandinRunner::streamEnd());
-  // Half of the next one is already on its way.
-  To->write("9\r\nid: " + std::to_string(Until + 1) + "\ndata\r\n");
-  To->close();
+    return Connection->write(StandinRunner::streamEnd());
+  // A part of the next piece is sent too.
+  Connection->write("9\r\nid: " + std::to_string(Until + 1) + "\ndata\r\n");
+  Connection->close();
 }
 
 } // namespace
 
-TEST_CASE("A stream comes through whole", "[gateway][streams]") {
+TEST_CASE("A stream is passed on completely", "[gateway][streams]") {
   GatewayTest Test;
-  Test.addRunner("i-1", [](const Request &Of, const ConnectionPtr &To) {
-    streamUntil(Of, To, Pieces);
-  });
+  Test.addRunner("i-1",
+                 [](const Request &Received, const ConnectionPtr &Connection) {
+                   streamUntil(Received, Connection, Pieces);
+                 });
   Test.start();
   const std::string Target = GENERATE("/stream/x", "/resumable/x");
   const HttpAnswer Answer = Test.fetch(Target, "id-1");
@@ -45,15 +48,16 @@
   REQUIRE(Answer.m_Body == plain(1, Pieces));
 }
 
-TEST_CASE("A resumable stream goes on at another runner from the next event",
+TEST_CASE("A resumable stream is resumed at another runner from the next event",
           "[gateway][streams]") {
   GatewayTest Test;
   int Streams = 0;
-  const auto Behave = [&](const Request &Of, const ConnectionPtr &To) {
-    // A server whose connection broke is asked whether it has ended.
-    if (Of.m_Target == "/")
-      return To->write(StandinRunner::answer(Of, 200, "healthy"));
-    streamUntil(Of, To, ++Streams == 1 ? 3 : Pieces);
+  const auto Behave = [&](const Request &Received,
+                          const ConnectionPtr &Connection) {
+    // A runner whose connection broke gets a health check.
+    if (Received.m_Target == "/")
+      return Connection->write(StandinRunner::answer(Received, 200, "healthy"));
+    streamUntil(Received, Connection, ++Streams == 1 ? 3 : Pieces);
   };
   Test.addRunner("i-1", Behave);
   Test.addRunner("i-2", Behave);
@@ -65,12 +69,13 @@
   REQUIRE(Test.m_Runners.at("i-1")->arrivals("id-1") == 1);
 }
 
-TEST_CASE("A stream that may not be resumed is cut where it broke, never "
-          "ended as if it were whole",
+TEST_CASE("A stream that is not resumable is cut where it broke, and does not "
+          "look complete",
           "[gateway][streams]") {
   GatewayTest Test;
-  const auto Behave = [](const Request &Of, const ConnectionPtr &To) {
-    streamUntil(Of, To, 3);
+  const auto Behave = [](const Request &Received,
+                         const ConnectionPtr &Connection) {
+    streamUntil(Received, Connection, 3);
   };
   Test.addRunner("i-1", Behave);
   Test.addRunner("i-2", Behave);
@@ -81,11 +86,12 @@
   REQUIRE(Test.arrivals("id-1") == 1);
 }
 
-TEST_CASE("A caller's own resumption is passed on", "[gateway][streams]") {
+TEST_CASE("A caller's Last-Event-Id is passed on", "[gateway][streams]") {
   GatewayTest Test;
-  Test.addRunner("i-1", [](const Request &Of, const ConnectionPtr &To) {
-    streamUntil(Of, To, Pieces);
-  });
+  Test.addRunner("i-1",
+                 [](const Request &Received, const ConnectionPtr &Connection) {
+                   streamUntil(Received, Connection, Pieces);
+                 });
   Test.start();
   HttpCall Call = Test.call("/resumable/x", "id-1");
   Call.m_Headers.push_back({"Last-Event-Id", "4"});
@@ -93,22 +99,24 @@
   REQUIRE(Answer.m_Body == plain(5, Pieces));
 }
 
-TEST_CASE("A runner that pauses a stream keeps it while it takes connections",
-          "[gateway][streams]") {
+TEST_CASE(
+    "A stream that pauses stays at its runner while that accepts connections",
+    "[gateway][streams]") {
   GatewayTest Test;
   ConnectionPtr Stream;
-  const auto Behave = [&](const Request &Of, const ConnectionPtr &To) {
-    if (Of.m_Method == "GET") {
-      // The question whether it is there; now it goes on.
+  const auto Behave = [&](const Request &Received,
+                          const ConnectionPtr &Connection) {
+    if (Received.m_Method == "GET") {
+      // The liveness probe; after it the stream continues.
       for (int Id = 3; Id <= Pieces; ++Id)
         Stream->write(StandinRunner::event(Id));
       Stream->write(StandinRunner::streamEnd());
-      return To->write(StandinRunner::answer(Of, 200, ""));
+      return Connection->write(StandinRunner::answer(Received, 200, ""));
     }
-    Stream = To;
-    To->write(StandinRunner::streamHead(Of));
+    Stream = Connection;
+    Connection->write(StandinRunner::streamHead(Received));
     for (int Id = 1; Id <= 2; ++Id)
-      To->write(StandinRunner::event(Id));
+      Connection->write(StandinRunner::event(Id));
   };
   Test.addRunner("i-1", Behave);
   Test.addRunner("i-2", Behave);
@@ -119,17 +127,17 @@
 }
 
 TEST_CASE(
-    "A stream whose runner takes no connection any more goes on elsewhere",
+    "A stream whose runner accepts no connections is resumed at another one",
     "[gateway][streams]") {
   GatewayTest Test;
   std::string First;
   const auto Behave = [&](const std::string &Id) {
-    return [&, Id](const Request &Of, const ConnectionPtr &To) {
+    return [&, Id](const Request &Received, const ConnectionPtr &Connection) {
       if (!First.empty())
-        return streamUntil(Of, To, Pieces);
+        return streamUntil(Received, Connection, Pieces);
       First = Id;
-      To->write(StandinRunner::streamHead(Of));
-      To->write(StandinRunner::event(1));
+      Connection->write(StandinRunner::streamHead(Received));
+      Connection->write(StandinRunner::event(1));
       Test.m_Runners.at(Id)->stopListening();
     };
   };
