--- a/packages/decisions/request/ForwardingPolicy.cpp
+++ b/packages/decisions/request/ForwardingPolicy.cpp
@@ -11,12 +11,14 @@
 constexpr std::array<std::string_view, 6> StepNames{
     "send_again", "resume", "pass_on", "refuse", "fail", "cut"};
 
+/// Whether \p Outcome allows another run of the request.
 bool mayRepeat(SendOutcome Outcome, const ForwardingFacts &Facts) {
-  const bool Ran =
+  const bool MayHaveRun =
       Outcome == SendOutcome::Broken || Outcome == SendOutcome::ServerError;
-  return !Ran || Facts.m_Idempotent;
+  return !MayHaveRun || Facts.m_Idempotent;
 }
 
+/// The step when no further send is made.
 ForwardingStep giveUp(SendOutcome Outcome, const ForwardingFacts &Facts) {
   if (Outcome == SendOutcome::ServerError)
     return ForwardingStep::PassOn;
@@ -33,10 +35,10 @@
   return StepNames.at(static_cast<std::size_t>(Step));
 }
 
-bool needsBudget(ForwardingStep Step, SendOutcome Outcome) {
-  const bool Repeat =
+bool needsRetryBudget(ForwardingStep Step, SendOutcome Outcome) {
+  const bool Repeats =
       Step == ForwardingStep::SendAgain || Step == ForwardingStep::Resume;
-  return Repeat && Outcome != SendOutcome::NotSent;
+  return Repeats && Outcome != SendOutcome::NotSent;
 }
 
 ForwardingStep nextStep(SendOutcome Outcome, const ForwardingFacts &Facts,
@@ -54,7 +56,7 @@
   return giveUp(Outcome, Facts);
 }
 
-bool promisesNotRun(int Status) {
+bool impliesNotRun(int Status) {
   return Status == 429 || Status == 503 || Status == 408 || Status == 421;
 }
 
--- a/tests/decisions/request/CallerIdentityTest.cpp
+++ b/tests/decisions/request/CallerIdentityTest.cpp
@@ -40,8 +40,7 @@
           ErrorKind::UnknownKey);
 }
 
-TEST_CASE("A public route asks for no key, and refuses one that nobody has",
-          "[keys]") {
+TEST_CASE("A public route needs no key, and refuses an unknown one", "[keys]") {
   const ServingConfig Config =
       configOf({{.m_Name = "gym", .m_Keys = {{"h1"}}}});
   Route Public;
@@ -52,18 +51,19 @@
           ErrorKind::UnknownKey);
 }
 
-TEST_CASE("Without organisations nobody needs a key", "[keys]") {
+TEST_CASE("Without organisations no request needs a key", "[keys]") {
   const ServingConfig Config = configOf({});
   REQUIRE(identifyCaller(Config, {}, NoKey) == CallerIdentity{});
   REQUIRE(identifyCaller(Config, {}, key("h1")) == CallerIdentity{});
 }
 
-TEST_CASE("A quota counts requests, or tokens that are told or assumed",
+TEST_CASE("A quota counts requests, or the tokens that are stated or assumed",
           "[quota]") {
-  const Quota Requests{.m_Unit = QuotaUnit::Requests, .m_RatePerS = 5};
+  const Quota Requests{.m_Unit = QuotaUnit::Requests, .m_RatePerSecond = 5};
   REQUIRE(Requests.costOf(true, 900) == 1);
-  const Quota Tokens{
-      .m_Unit = QuotaUnit::Tokens, .m_RatePerS = 5, .m_UncountedTokens = 200};
+  const Quota Tokens{.m_Unit = QuotaUnit::Tokens,
+                     .m_RatePerSecond = 5,
+                     .m_DefaultTokens = 200};
   REQUIRE(Tokens.costOf(true, 900) == 900);
   REQUIRE(Tokens.costOf(false, 0) == 200);
   REQUIRE_FALSE(Quota{}.limited());
