--- a/packages/decisions/process/AdapterPlanner.cpp
+++ b/packages/decisions/process/AdapterPlanner.cpp
@@ -30,22 +30,23 @@
   }
 
   /// Whether a copy is on its way somewhere.
-  bool coming(const AdapterKey &Key) const {
+  bool isLoading(const AdapterKey &Key) const {
     const Holders &Of = holders(Key.first);
     return std::any_of(Of.begin(), Of.end(), [&](const AdapterEngine *Each) {
-      return Each->m_Ledger->coming(Key.first, Key.second);
+      return Each->m_Ledger->isLoading(Key.first, Key.second);
     });
   }
 
   /// Plans the load of \p Key, or the unload that makes room for it.
   /// \p MayEvict judges the adapter that would make way.
-  template <typename Judge> bool place(const AdapterKey &Key, Judge MayEvict) {
+  template <typename EvictionTest>
+  bool planLoad(const AdapterKey &Key, EvictionTest MayEvict) {
     const ResidencyOrder Load{
         .m_Load = true, .m_Model = Key.first, .m_Adapter = Key.second};
     const AdapterEngine *Free = nullptr;
     const AdapterEngine *Full = nullptr;
     for (const AdapterEngine *Each : holders(Key.first)) {
-      if (m_Taken.contains(Each->m_Id) ||
+      if (m_Planned.contains(Each->m_Id) ||
           Each->m_Retiring.contains(Key.first) ||
           Each->m_Ledger->holds(Key.first, Key.second))
         continue;
@@ -55,8 +56,8 @@
         Best = Each;
     }
     if (Free != nullptr)
-      return take(*Free, Load);
-    return Full != nullptr && makeRoom(*Full, MayEvict);
+      return addMove(*Free, Load);
+    return Full != nullptr && planUnload(*Full, MayEvict);
   }
 
   std::vector<AdapterMove> moves() && { return std::move(m_Moves); }
@@ -72,29 +73,30 @@
     return Found == m_Holders.end() ? None : Found->second;
   }
 
-  bool take(const AdapterEngine &At, ResidencyOrder Order) {
-    m_Taken.insert(At.m_Id);
+  bool addMove(const AdapterEngine &At, ResidencyOrder Order) {
+    m_Planned.insert(At.m_Id);
     m_Moves.push_back({.m_Engine = At.m_Id, .m_Order = std::move(Order)});
     return true;
   }
 
   /// The least wanted copy on \p At makes way.
-  template <typename Judge>
-  bool makeRoom(const AdapterEngine &At, Judge MayEvict) {
-    std::optional<AdapterKey> Least;
+  template <typename EvictionTest>
+  bool planUnload(const AdapterEngine &At, EvictionTest MayEvict) {
+    std::optional<AdapterKey> LeastWanted;
     for (const ResidentModel &Model : At.m_Ledger->models())
       for (const std::string &Adapter : Model.m_Adapters) {
         const AdapterKey Key{Model.m_Name, Adapter};
         if (At.m_Fresh.contains(Key))
           continue;
-        if (!Least || worth(Key) < worth(*Least))
-          Least = Key;
+        if (!LeastWanted || worth(Key) < worth(*LeastWanted))
+          LeastWanted = Key;
       }
-    if (!Least || !MayEvict(*Least))
+    if (!LeastWanted || !MayEvict(*LeastWanted))
       return false;
-    const ResidencyOrder Unload{
-        .m_Load = false, .m_Model = Least->first, .m_Adapter = Least->second};
-    return At.m_Ledger->allows(Unload, m_Spec) && take(At, Unload);
+    const ResidencyOrder Unload{.m_Load = false,
+                                .m_Model = LeastWanted->first,
+                                .m_Adapter = LeastWanted->second};
+    return At.m_Ledger->allows(Unload, m_Spec) && addMove(At, Unload);
   }
 
   double worth(const AdapterKey &Key) const {
@@ -105,7 +107,7 @@
   const std::map<AdapterKey, double> &m_Rates;
   const EngineSpec &m_Spec;
   std::map<AdapterKey, int> m_Copies;
-  std::set<InstanceId> m_Taken;
+  std::set<InstanceId> m_Planned;
   std::vector<AdapterMove> m_Moves;
 };
 
@@ -118,21 +120,21 @@
                                       const AdapterOptions &Opts) {
   AdapterPlan Plan(Engines, Rates, Spec);
   for (const AdapterKey &Key : Missing)
-    if (Plan.copies(Key) == 0 && !Plan.coming(Key))
-      Plan.place(Key, [](const AdapterKey &) { return true; });
+    if (Plan.copies(Key) == 0 && !Plan.isLoading(Key))
+      Plan.planLoad(Key, [](const AdapterKey &) { return true; });
   if (!Opts.m_Copies)
     return std::move(Plan).moves();
   std::vector<std::pair<double, AdapterKey>> Wanted;
   for (const auto &[Key, Rate] : Rates) {
     const double PerCopy = Rate / std::max(1, Plan.copies(Key));
-    if (PerCopy > Opts.m_RateWhenFree && !Plan.coming(Key))
+    if (PerCopy > Opts.m_RateWhenFree && !Plan.isLoading(Key))
       Wanted.emplace_back(PerCopy, Key);
   }
   std::sort(Wanted.rbegin(), Wanted.rend());
   for (const auto &[PerCopy, Key] : Wanted) {
     const double After = Plan.rate(Key) / (Plan.copies(Key) + 1);
     const bool Hot = PerCopy > Opts.m_RatePerCopy;
-    Plan.place(Key, [&](const AdapterKey &Victim) {
+    Plan.planLoad(Key, [&](const AdapterKey &Victim) {
       return Hot && Plan.rate(Victim) * Opts.m_SwapFactor < After;
     });
   }
--- a/packages/decisions/process/AdapterPlanner.h
+++ b/packages/decisions/process/AdapterPlanner.h
@@ -39,7 +39,7 @@
 struct AdapterOptions {
   /// Requests a second by copy above which another copy is worth its order.
   double m_RatePerCopy = 1.2;
-  /// The same where a place is free.
+  /// The same where a planLoad is free.
   double m_RateWhenFree = 0.05;
   /// An adapter makes way only for one that is wanted this many times more.
   double m_SwapFactor = 3;
--- a/packages/decisions/process/Backoff.cpp
+++ b/packages/decisions/process/Backoff.cpp
@@ -7,20 +7,21 @@
 namespace {
 
 /// Beyond this many doublings every cap in use has been reached.
-constexpr int MostDoublings = 20;
+constexpr int MaxDoublings = 20;
 /// Part of the wait that jitter cannot take away.
-constexpr double LeastPart = 0.1;
+constexpr double MinWaitFraction = 0.1;
 
 } // namespace
 
 Backoff::Backoff(Options Opts) : m_Opts(std::move(Opts)) {}
 
 Duration Backoff::next() {
-  const int Doublings = std::min(m_Failures, MostDoublings);
+  const int Doublings = std::min(m_Failures, MaxDoublings);
   ++m_Failures;
   const Duration Full =
       std::min(m_Opts.m_Cap, m_Opts.m_First * (Duration::rep{1} << Doublings));
-  const double Part = LeastPart + (1 - LeastPart) * m_Opts.m_Random();
+  const double Part =
+      MinWaitFraction + (1 - MinWaitFraction) * m_Opts.m_Random();
   return Duration(
       static_cast<Duration::rep>(static_cast<double>(Full.count()) * Part));
 }
--- a/packages/decisions/process/BoxCensus.h
+++ b/packages/decisions/process/BoxCensus.h
@@ -19,16 +19,16 @@
   /// with the store's word of it, and still serve. Longer than the minutes for
   /// which regions lose each other; a box that is gone for good costs the
   /// others its part of what is shared until then.
-  static constexpr Duration Remembers = 600s;
+  static constexpr Duration Retention = 600s;
 
-  /// From \p Now on \p Machines are listed, and no others.
-  void listed(std::set<std::string> Machines, TimePoint Now);
+  /// From \p Now on \p Machines are setListed, and no others.
+  void setListed(std::set<std::string> Machines, TimePoint Now);
   /// At least 1.
   std::size_t count(TimePoint Now) const;
 
 private:
   std::set<std::string> m_Listed;
-  std::map<std::string, TimePoint> m_GoneAt;
+  std::map<std::string, TimePoint> m_DepartedAt;
 };
 
 } // namespace havenstair
--- a/packages/decisions/process/ConcurrencyHome.cpp
+++ b/packages/decisions/process/ConcurrencyHome.cpp
@@ -11,12 +11,12 @@
       Others += Other == Box ? 0 : Count;
   if (Others + Running > Limit)
     return false;
-  tell(Group, Box, Running);
+  setRunning(Group, Box, Running);
   return true;
 }
 
-void ConcurrencyHome::tell(const GroupName &Group, const BoxName &Box,
-                           int Running) {
+void ConcurrencyHome::setRunning(const GroupName &Group, const BoxName &Box,
+                                 int Running) {
   if (Running > 0) {
     m_Counts[Group][Box] = Running;
     return;
--- a/packages/decisions/process/ConcurrencyHome.h
+++ b/packages/decisions/process/ConcurrencyHome.h
@@ -10,8 +10,8 @@
 namespace havenstair {
 
 /// Exact while every box asks before it starts and tells when it ends. Boxes
-/// always tell their whole count, so a message that was lost or came twice is
-/// mended by the next one.
+/// always setRunning their whole count, so a message that was lost or came
+/// twice is mended by the next one.
 class ConcurrencyHome {
 public:
   /// \p Box wants to run \p Running requests of \p Group, the new one among
@@ -19,7 +19,7 @@
   bool tryRun(const GroupName &Group, const BoxName &Box, int Running,
               int Limit);
   /// \p Box runs \p Running requests of \p Group now.
-  void tell(const GroupName &Group, const BoxName &Box, int Running);
+  void setRunning(const GroupName &Group, const BoxName &Box, int Running);
   /// A box is gone with all that it ran.
   void forget(const BoxName &Box);
   int running(const GroupName &Group) const;
--- a/packages/decisions/process/DemandRates.cpp
+++ b/packages/decisions/process/DemandRates.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Below this many requests a second a key is not told.
-constexpr double LeastRequests = 0.002;
+constexpr double MinReportedRequests = 0.002;
 
 ModelDemand scaled(const ModelDemand &Of, double Factor) {
   return {.m_Requests = Of.m_Requests * Factor,
@@ -23,63 +23,63 @@
 
 } // namespace
 
-DemandRates::Known DemandRates::decayed(const Known &From,
-                                        TimePoint Now) const {
+DemandRates::KeyRates DemandRates::decayed(const KeyRates &From,
+                                           TimePoint Now) const {
   const double Age = std::max(0.0, inSeconds(Now - From.m_At));
   return {
       .m_Fast = scaled(From.m_Fast, std::exp(-Age / inSeconds(m_Opts.m_Fast))),
       .m_Slow = scaled(From.m_Slow, std::exp(-Age / inSeconds(m_Opts.m_Slow))),
-      .m_Usual =
-          scaled(From.m_Usual, std::exp(-Age / inSeconds(m_Opts.m_Usual))),
+      .m_Baseline = scaled(From.m_Baseline,
+                           std::exp(-Age / inSeconds(m_Opts.m_Baseline))),
       .m_At = Now};
 }
 
 void DemandRates::add(const ModelKey &Key, const ModelDemand &Demand,
                       TimePoint Now) {
-  Known &Entry = m_Known[Key];
+  KeyRates &Entry = m_ByKey[Key];
   Entry = decayed(Entry, Now);
   Entry.m_Fast += scaled(Demand, 1 / inSeconds(m_Opts.m_Fast));
   Entry.m_Slow += scaled(Demand, 1 / inSeconds(m_Opts.m_Slow));
-  Entry.m_Usual += scaled(Demand, 1 / inSeconds(m_Opts.m_Usual));
+  Entry.m_Baseline += scaled(Demand, 1 / inSeconds(m_Opts.m_Baseline));
 }
 
 void DemandRates::expect(const ModelKey &Key, const ModelDemand &Demand,
                          TimePoint Now) {
-  Known &Entry = m_Known[Key];
+  KeyRates &Entry = m_ByKey[Key];
   Entry = decayed(Entry, Now);
-  Entry.m_Usual = {
-      .m_Requests = std::max(Entry.m_Usual.m_Requests, Demand.m_Requests),
-      .m_WorkMs = std::max(Entry.m_Usual.m_WorkMs, Demand.m_WorkMs)};
+  Entry.m_Baseline = {
+      .m_Requests = std::max(Entry.m_Baseline.m_Requests, Demand.m_Requests),
+      .m_WorkMs = std::max(Entry.m_Baseline.m_WorkMs, Demand.m_WorkMs)};
 }
 
-ModelDemand DemandRates::expected(const Known &From) const {
+ModelDemand DemandRates::expected(const KeyRates &From) const {
   return {.m_Requests = ahead(From.m_Fast.m_Requests, From.m_Slow.m_Requests,
-                              m_Opts.m_Trend),
+                              m_Opts.m_LookaheadSeconds),
           .m_WorkMs = ahead(From.m_Fast.m_WorkMs, From.m_Slow.m_WorkMs,
-                            m_Opts.m_Trend)};
+                            m_Opts.m_LookaheadSeconds)};
 }
 
 ModelDemand DemandRates::rate(const ModelKey &Key, TimePoint Now) const {
-  const auto Found = m_Known.find(Key);
-  return Found == m_Known.end() ? ModelDemand{}
+  const auto Found = m_ByKey.find(Key);
+  return Found == m_ByKey.end() ? ModelDemand{}
                                 : expected(decayed(Found->second, Now));
 }
 
 ModelDemands DemandRates::rates(TimePoint Now) const {
   ModelDemands Result;
-  for (const auto &[Key, Entry] : m_Known) {
+  for (const auto &[Key, Entry] : m_ByKey) {
     const ModelDemand Rate = expected(decayed(Entry, Now));
-    if (Rate.m_Requests >= LeastRequests)
+    if (Rate.m_Requests >= MinReportedRequests)
       Result.emplace(Key, Rate);
   }
   return Result;
 }
 
-ModelDemands DemandRates::usual(TimePoint Now) const {
+ModelDemands DemandRates::baseline(TimePoint Now) const {
   ModelDemands Result;
-  for (const auto &[Key, Entry] : m_Known)
+  for (const auto &[Key, Entry] : m_ByKey)
     if (Key.m_Adapter.empty())
-      Result.emplace(Key, decayed(Entry, Now).m_Usual);
+      Result.emplace(Key, decayed(Entry, Now).m_Baseline);
   return Result;
 }
 
--- a/packages/decisions/process/DemandRates.h
+++ b/packages/decisions/process/DemandRates.h
@@ -4,7 +4,7 @@
 #define HAVENSTAIR_DECISIONS_PROCESS_DEMANDRATES_H
 
 #include "decisions/common/Time.h"
-#include "decisions/process/DemandBook.h"
+#include "decisions/process/ModelDemand.h"
 #include <map>
 
 namespace havenstair {
@@ -18,10 +18,10 @@
     Duration m_Fast = 1s; ///< Time constants.
     Duration m_Slow = 4s;
     /// Of the rate that tells which models are usually asked for.
-    Duration m_Usual = 30s;
+    Duration m_Baseline = 30s;
     /// How far ahead demand is told, in seconds, by the difference of the two
     /// rates.
-    double m_Trend = 1.5;
+    double m_LookaheadSeconds = 1.5;
   };
 
   DemandRates() : DemandRates(Options{}) {}
@@ -36,23 +36,23 @@
   /// All keys with a rate worth telling.
   ModelDemands rates(TimePoint Now) const;
   /// Mean rate per second over half a minute or so, by model.
-  ModelDemands usual(TimePoint Now) const;
+  ModelDemands baseline(TimePoint Now) const;
   /// Whether any demand was ever added.
-  bool empty() const { return m_Known.empty(); }
+  bool empty() const { return m_ByKey.empty(); }
 
 private:
-  struct Known {
+  struct KeyRates {
     ModelDemand m_Fast;
     ModelDemand m_Slow;
-    ModelDemand m_Usual;
+    ModelDemand m_Baseline;
     TimePoint m_At{};
   };
 
-  Known decayed(const Known &From, TimePoint Now) const;
-  ModelDemand expected(const Known &From) const;
+  KeyRates decayed(const KeyRates &From, TimePoint Now) const;
+  ModelDemand expected(const KeyRates &From) const;
 
   Options m_Opts;
-  std::map<ModelKey, Known> m_Known;
+  std::map<ModelKey, KeyRates> m_ByKey;
 };
 
 } // namespace havenstair
--- a/packages/decisions/process/EchoClock.h
+++ b/packages/decisions/process/EchoClock.h
@@ -17,18 +17,18 @@
 class EchoClock {
 public:
   /// The number of what is told at \p Now; the first is 1.
-  std::uint64_t tell(TimePoint Now);
-  void heard(const BoxName &From, std::uint64_t Number);
+  std::uint64_t nextNumber(TimePoint Now);
+  void recordReceived(const BoxName &From, std::uint64_t Number);
   /// What to echo to \p To; 0 before it has told anything.
   std::uint64_t echoFor(const BoxName &To) const;
   /// When \p Echo was told: what echoes it is not older. The beginning of time
   /// for 0, and for numbers that are long past.
-  TimePoint toldAt(std::uint64_t Echo) const;
-  void forget(const BoxName &Box) { m_Heard.erase(Box); }
+  TimePoint sentAt(std::uint64_t Echo) const;
+  void forget(const BoxName &Box) { m_LastReceived.erase(Box); }
 
 private:
-  std::map<BoxName, std::uint64_t> m_Heard;
-  std::deque<TimePoint> m_Told; ///< Of the last numbers, the newest last.
+  std::map<BoxName, std::uint64_t> m_LastReceived;
+  std::deque<TimePoint> m_SentAt; ///< Of the last numbers, the newest last.
   std::uint64_t m_Last = 0;
 };
 
--- a/packages/decisions/process/FleetTopology.cpp
+++ b/packages/decisions/process/FleetTopology.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 /// Boxes come in kinds whose links and processors lie further apart than this.
-constexpr double MuchStronger = 2;
+constexpr double MuchStrongerFactor = 2;
 
 bool muchStronger(double Capacity, double Than) {
-  return Capacity >= MuchStronger * Than;
+  return Capacity >= MuchStrongerFactor * Than;
 }
 
 /// A relay as a leaf looks at it; the greatest is the most preferred.
@@ -28,31 +28,31 @@
 
 FleetTopology::FleetTopology(FleetMember Self, Options Opts)
     : m_Self(std::move(Self)), m_Opts(Opts) {
-  arrange();
+  rebuild();
 }
 
-void FleetTopology::listed(std::vector<FleetMember> Others) {
+void FleetTopology::setMembers(std::vector<FleetMember> Others) {
   m_Others = std::move(Others);
-  arrange();
+  rebuild();
 }
 
-bool FleetTopology::holderIs(const BoxName &Holder) {
-  if (Holder == m_Holder)
+bool FleetTopology::setLeader(const BoxName &Leader) {
+  if (Leader == m_Leader)
     return false;
   const std::set<BoxName> Before = m_Relays;
-  m_Holder = Holder;
-  arrange();
+  m_Leader = Leader;
+  rebuild();
   return m_Relays != Before;
 }
 
-void FleetTopology::arrange() {
+void FleetTopology::rebuild() {
   std::vector<FleetMember> All = m_Others;
   All.push_back(m_Self);
-  m_Flat = All.size() <= m_Opts.m_MeshUpTo;
+  m_Flat = All.size() <= m_Opts.m_MaxMeshSize;
   m_Relays.clear();
   std::map<DataCentreName, std::vector<FleetMember>> ByDataCentre;
   for (const FleetMember &Each : All) {
-    if (m_Flat || Each.m_Box == m_Holder)
+    if (m_Flat || Each.m_Box == m_Leader)
       m_Relays.insert(Each.m_Box);
     ByDataCentre[Each.m_DataCentre].push_back(Each);
   }
@@ -72,7 +72,7 @@
       m_RelaysOf[Each.m_DataCentre].insert(Each.m_Box);
   m_Links.clear();
   if (!relay()) {
-    m_Links = linksOfLeaf();
+    m_Links = leafLinks();
     return;
   }
   for (const BoxName &Relay : m_Relays)
@@ -98,7 +98,7 @@
 /// ones when these are gone: a relay as small as a leaf takes as long for what
 /// it passes on, and the leaf waits twice. One relay elsewhere is for the time
 /// when all of these are gone.
-std::vector<BoxName> FleetTopology::linksOfLeaf() const {
+std::vector<BoxName> FleetTopology::leafLinks() const {
   double Strongest = 0;
   for (const FleetMember &Each : m_Others)
     if (isRelay(Each.m_Box) && Each.m_DataCentre == m_Self.m_DataCentre)
--- a/packages/decisions/process/FleetTopology.h
+++ b/packages/decisions/process/FleetTopology.h
@@ -30,7 +30,7 @@
 public:
   struct Options {
     /// Up to this many boxes, all are relays.
-    std::size_t m_MeshUpTo = 16;
+    std::size_t m_MaxMeshSize = 16;
     std::size_t m_RelaysPerDataCentre = 3;
   };
 
@@ -39,11 +39,11 @@
   FleetTopology(FleetMember Self, Options Opts);
 
   /// The other boxes that are known now.
-  void listed(std::vector<FleetMember> Others);
-  /// The box that gives orders stays a relay while it is listed, so that a
+  void setMembers(std::vector<FleetMember> Others);
+  /// The box that gives orders stays a relay while it is setMembers, so that a
   /// stronger box that joins does not end its turn. \returns whether that
   /// changes the relays.
-  bool holderIs(const BoxName &Holder);
+  bool setLeader(const BoxName &Leader);
 
   /// All boxes are relays.
   bool flat() const { return m_Flat; }
@@ -59,13 +59,13 @@
   const std::vector<BoxName> &links() const { return m_Links; }
 
 private:
-  void arrange();
-  std::vector<BoxName> linksOfLeaf() const;
+  void rebuild();
+  std::vector<BoxName> leafLinks() const;
 
   FleetMember m_Self;
   Options m_Opts;
   std::vector<FleetMember> m_Others;
-  BoxName m_Holder;
+  BoxName m_Leader;
   bool m_Flat = true;
   std::set<BoxName> m_Relays;
   std::map<DataCentreName, std::set<BoxName>> m_RelaysOf;
--- a/packages/decisions/process/GroupLimiter.cpp
+++ b/packages/decisions/process/GroupLimiter.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-int concurrencyPart(int Whole, const LimitShare &Share) {
+int concurrencyShare(int Whole, const LimitShare &Share) {
   const int Rest = Whole % Share.m_Boxes;
   return Whole / Share.m_Boxes + (Share.m_Index < Rest ? 1 : 0);
 }
--- a/packages/decisions/process/GroupLimiter.h
+++ b/packages/decisions/process/GroupLimiter.h
@@ -23,7 +23,7 @@
 
 /// Part of a whole concurrency limit that falls to one box: the rest of the
 /// division goes to the first boxes, so the parts add up to \p Whole.
-int concurrencyPart(int Whole, const LimitShare &Share);
+int concurrencyShare(int Whole, const LimitShare &Share);
 
 /// Token buckets and counts of one box.
 class GroupLimiter {
--- a/packages/decisions/process/LifeBook.h
+++ b/packages/decisions/process/IncarnationTracker.h
@@ -1,7 +1,7 @@
 /// \file
 /// The newest start seen of each server.
-#ifndef HAVENSTAIR_DECISIONS_PROCESS_LIFEBOOK_H
-#define HAVENSTAIR_DECISIONS_PROCESS_LIFEBOOK_H
+#ifndef HAVENSTAIR_DECISIONS_PROCESS_INCARNATIONTRACKER_H
+#define HAVENSTAIR_DECISIONS_PROCESS_INCARNATIONTRACKER_H
 
 #include "decisions/process/UpstreamLife.h"
 #include <map>
@@ -11,15 +11,16 @@
 /// Words about servers come late and by several ways. Once a start has been
 /// heard of, nothing that an earlier one of the same name said is believed.
 /// Who tells no birth is judged by name alone, so it is always believed.
-class LifeBook {
+class IncarnationTracker {
 public:
-  /// Whether no later start than \p Life is known.
-  bool believes(const UpstreamLife &Life) const {
-    return Life.m_Born == 0 || Life.m_Born >= newest(Life.m_Id);
+  /// Whether no later start than \p Incarnation is known.
+  bool isCurrent(const UpstreamLife &Incarnation) const {
+    return Incarnation.m_Born == 0 ||
+           Incarnation.m_Born >= newest(Incarnation.m_Id);
   }
-  /// \p Life was heard of. \returns whether the server has started again since
-  /// it was last heard of.
-  bool note(const UpstreamLife &Life);
+  /// \p Incarnation was heard of. \returns whether the server has started again
+  /// since it was last heard of.
+  bool record(const UpstreamLife &Incarnation);
   /// 0 when none was told.
   UpstreamBirth newest(const InstanceId &Id) const;
 
--- a/packages/decisions/process/LateOrders.cpp
+++ b/packages/decisions/process/LateOrders.cpp
@@ -2,19 +2,19 @@
 
 namespace havenstair {
 
-void LateOrders::lost(const ResidencyOrder &Order, std::uint64_t Expected,
-                      TimePoint Now) {
-  m_Lost.push_back({.m_Order = Order, .m_Expected = Expected, .m_At = Now});
+void LateOrders::add(const ResidencyOrder &Order, std::uint64_t Expected,
+                     TimePoint Now) {
+  m_Orders.push_back({.m_Order = Order, .m_Expected = Expected, .m_At = Now});
 }
 
 void LateOrders::expire(Duration Life, TimePoint Now) {
-  std::erase_if(m_Lost,
-                [&](const Lost &Each) { return Now - Each.m_At > Life; });
+  std::erase_if(m_Orders,
+                [&](const LateOrder &Each) { return Now - Each.m_At > Life; });
 }
 
 std::set<ResidencyOrder> LateOrders::loads(std::uint64_t Count) const {
   std::set<ResidencyOrder> Result;
-  for (const Lost &Each : m_Lost)
+  for (const LateOrder &Each : m_Orders)
     if (Each.m_Order.m_Load && Each.m_Expected >= Count)
       Result.insert(Each.m_Order);
   return Result;
--- a/packages/decisions/process/LateOrders.h
+++ b/packages/decisions/process/LateOrders.h
@@ -21,7 +21,7 @@
 public:
   /// A call with \p Order, which expects \p Expected orders before it, ended
   /// without an answer.
-  void lost(const ResidencyOrder &Order, std::uint64_t Expected, TimePoint Now);
+  void add(const ResidencyOrder &Order, std::uint64_t Expected, TimePoint Now);
   /// Forgets calls that ended longer than \p Life ago.
   void expire(Duration Life, TimePoint Now);
   /// Loads that a later start may carry out.
@@ -30,16 +30,16 @@
   std::set<ResidencyOrder> loads(std::uint64_t Count) const;
   /// Those of them that load a model.
   std::size_t modelLoads() const;
-  bool empty() const { return m_Lost.empty(); }
+  bool empty() const { return m_Orders.empty(); }
 
 private:
-  struct Lost {
+  struct LateOrder {
     ResidencyOrder m_Order;
     std::uint64_t m_Expected = 0;
     TimePoint m_At{};
   };
 
-  std::vector<Lost> m_Lost;
+  std::vector<LateOrder> m_Orders;
 };
 
 } // namespace havenstair
--- a/packages/decisions/process/LatencyModel.cpp
+++ b/packages/decisions/process/LatencyModel.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 /// One observation moves a factor by no more than this.
-constexpr double MostRatio = 4;
-constexpr double LeastSlowness = 0.5;
-constexpr double MostSlowness = 10;
-constexpr double LeastTokenMs = 0.002;
-constexpr double MostTokenMs = 1;
+constexpr double MaxRatio = 4;
+constexpr double MinSlowness = 0.5;
+constexpr double MaxSlowness = 10;
+constexpr double MinTokenMs = 0.002;
+constexpr double MaxTokenMs = 1;
 
 } // namespace
 
@@ -34,18 +34,18 @@
 void LatencyModel::observe(const InstanceId &At, const std::string &Model,
                            double PendingMs, double WorkMs, double ObservedMs) {
   const double Expected = expectedMs(At, PendingMs, WorkMs);
-  const double Ratio = std::clamp(std::max(ObservedMs, 1.0) / Expected,
-                                  1 / MostRatio, MostRatio);
+  const double Ratio =
+      std::clamp(std::max(ObservedMs, 1.0) / Expected, 1 / MaxRatio, MaxRatio);
   double &Slowness = m_Slowness.try_emplace(At, 1).first->second;
   Slowness = std::clamp(Slowness * std::pow(Ratio, m_Opts.m_EngineWeight),
-                        LeastSlowness, MostSlowness);
+                        MinSlowness, MaxSlowness);
   // What the work ahead cost says nothing about this model.
   if (Model.empty() || WorkMs < PendingMs)
     return;
   double &TokenMs =
       m_TokenMs.try_emplace(Model, m_Opts.m_TokenMs).first->second;
   TokenMs = std::clamp(TokenMs * std::pow(Ratio, m_Opts.m_TokenWeight),
-                       LeastTokenMs, MostTokenMs);
+                       MinTokenMs, MaxTokenMs);
 }
 
 double LatencyModel::holdMs(const std::string &Model) const {
--- a/packages/decisions/process/LeaseKeeper.cpp
+++ b/packages/decisions/process/LeaseKeeper.cpp
@@ -16,7 +16,7 @@
   return RenewLease{m_LeaseId};
 }
 
-void LeaseKeeper::granted(const std::string &LeaseId, TimePoint SentAt) {
+void LeaseKeeper::onGranted(const std::string &LeaseId, TimePoint SentAt) {
   m_CallInFlight = false;
   m_LeaseId = LeaseId;
   m_HeldUntil =
@@ -24,12 +24,12 @@
   m_NextCall = SentAt + m_Opts.m_RenewEvery;
 }
 
-void LeaseKeeper::failed(TimePoint RetryAt) {
+void LeaseKeeper::onFailed(TimePoint RetryAt) {
   m_CallInFlight = false;
   m_NextCall = RetryAt;
 }
 
-void LeaseKeeper::lost(TimePoint Now) {
+void LeaseKeeper::onLost(TimePoint Now) {
   m_CallInFlight = false;
   m_LeaseId.clear();
   m_HeldUntil = TimePoint{};
--- a/packages/decisions/process/LeaseKeeper.h
+++ b/packages/decisions/process/LeaseKeeper.h
@@ -33,11 +33,11 @@
   /// The call to make now, when one is due and none is on its way.
   std::optional<LeaseAction> tick(TimePoint Now);
   /// The call sent at \p SentAt succeeded for \p LeaseId.
-  void granted(const std::string &LeaseId, TimePoint SentAt);
-  /// The call failed and nothing is known; try again after \p RetryAt.
-  void failed(TimePoint RetryAt);
+  void onGranted(const std::string &LeaseId, TimePoint SentAt);
+  /// The call onFailed and nothing is known; try again after \p RetryAt.
+  void onFailed(TimePoint RetryAt);
   /// The platform says that the lease does not exist.
-  void lost(TimePoint Now);
+  void onLost(TimePoint Now);
 
   /// Takes effect from the next renewal on.
   void setRenewEvery(Duration Every) { m_Opts.m_RenewEvery = Every; }
--- a/packages/decisions/process/LoadCeiling.h
+++ b/packages/decisions/process/LoadRateLimiter.h
@@ -1,7 +1,7 @@
 /// \file
 /// The bound on loads that begin from the store of weights.
-#ifndef HAVENSTAIR_DECISIONS_PROCESS_LOADCEILING_H
-#define HAVENSTAIR_DECISIONS_PROCESS_LOADCEILING_H
+#ifndef HAVENSTAIR_DECISIONS_PROCESS_LOADRATELIMITER_H
+#define HAVENSTAIR_DECISIONS_PROCESS_LOADRATELIMITER_H
 
 #include "decisions/common/Id.h"
 #include "decisions/common/Time.h"
@@ -14,9 +14,9 @@
 /// In any window, no more loads begin than `LoadsPerS x Window x Overage +
 /// Slack`. When a load begins is not known: at any time between the sending of
 /// its order and the word that settles it. So an order counts from its sending
-/// until a window after it was settled. A new order giver assumes that the one
-/// before it has used up a whole window just before it stopped.
-class LoadCeiling {
+/// until a window after it was onSettled. A new order giver assumes that the
+/// one before it has used up a whole window just before it stopped.
+class LoadRateLimiter {
 public:
   struct Options {
     double m_LoadsPerS = 1;
@@ -28,37 +28,37 @@
     bool operator==(const Options &) const = default;
   };
 
-  LoadCeiling() = default;
+  LoadRateLimiter() = default;
 
   void configure(Options Opts) { m_Opts = Opts; }
   /// Another order giver gave its last order before \p Until.
-  void takeOver(TimePoint Until) { m_TakenOver = Until; }
+  void assumeFullWindow(TimePoint Until) { m_FullWindowUntil = Until; }
   /// Whether a whole window of another order giver's loads is assumed.
-  bool takenOver() const { return m_TakenOver.has_value(); }
+  bool assumesFullWindow() const { return m_FullWindowUntil.has_value(); }
   /// Of the other order giver's loads, no more than \p Count may have begun in
   /// the window that ends at \p Now.
-  void formerLoads(std::size_t Count, TimePoint Now);
-  /// Loads that may be ordered now.
-  std::size_t left(TimePoint Now);
-  /// A load from the store is ordered from \p Engine, which takes one at a
+  void setFormerLoads(std::size_t Count, TimePoint Now);
+  /// Loads that may be onOrdered now.
+  std::size_t available(TimePoint Now);
+  /// A load from the store is onOrdered from \p Engine, which takes one at a
   /// time.
-  void ordered(const InstanceId &Engine) { m_Open.insert(Engine); }
-  /// \p Count loads that were ordered may begin at any time before \p Until.
-  void mayBegin(std::size_t Count, TimePoint Until) {
+  void onOrdered(const InstanceId &Engine) { m_Open.insert(Engine); }
+  /// \p Count loads that were onOrdered may begin at any time before \p Until.
+  void addPossibleStarts(std::size_t Count, TimePoint Until) {
     for (std::size_t Load = 0; Load < Count; ++Load)
-      m_Begun.insert(Until);
+      m_Starts.insert(Until);
   }
   /// The load of \p Engine began before \p Until, or never will. Nothing
   /// happens when none is open.
-  void settled(const InstanceId &Engine, TimePoint Until);
+  void onSettled(const InstanceId &Engine, TimePoint Until);
 
 private:
-  std::size_t most() const;
+  std::size_t capacity() const;
 
   Options m_Opts;
   std::set<InstanceId> m_Open;
-  std::multiset<TimePoint> m_Begun;
-  std::optional<TimePoint> m_TakenOver;
+  std::multiset<TimePoint> m_Starts;
+  std::optional<TimePoint> m_FullWindowUntil;
 };
 
 } // namespace havenstair
--- a/packages/decisions/process/LoadBook.h
+++ b/packages/decisions/process/LoadTracker.h
@@ -1,7 +1,7 @@
 /// \file
 /// Work that runs or waits on each upstream, from all boxes.
-#ifndef HAVENSTAIR_DECISIONS_PROCESS_LOADBOOK_H
-#define HAVENSTAIR_DECISIONS_PROCESS_LOADBOOK_H
+#ifndef HAVENSTAIR_DECISIONS_PROCESS_LOADTRACKER_H
+#define HAVENSTAIR_DECISIONS_PROCESS_LOADTRACKER_H
 
 #include "decisions/common/Id.h"
 #include "decisions/common/Time.h"
@@ -13,7 +13,7 @@
 
 /// Load of one upstream through one box, or the sum over boxes.
 struct InstanceLoad {
-  int m_Running = 0;      ///< Requests sent and not yet ended.
+  int m_Running = 0;      ///< Requests onSent and not yet onEnded.
   double m_PendingMs = 0; ///< Work before the first tokens still to come.
   double m_Tokens = 0;    ///< Tokens of prompts and answers in memory.
 
@@ -29,55 +29,57 @@
 
 using InstanceLoads = std::map<InstanceId, InstanceLoad>;
 
-/// Sums up what this box sent and what the other boxes tell.
-class LoadBook {
+/// Sums up what this box onSent and what the other boxes tell.
+class LoadTracker {
 public:
   /// Longest time that the word of another box counts.
-  static constexpr Duration WordCounts = 2s;
+  static constexpr Duration ReportLifetime = 2s;
 
-  void sent(const InstanceId &To, double WorkMs, double Tokens);
+  void onSent(const InstanceId &To, double WorkMs, double Tokens);
   /// The first token came; the work before it is done.
-  void started(const InstanceId &To, double WorkMs);
-  void ended(const InstanceId &To, double Tokens);
+  void onFirstToken(const InstanceId &To, double WorkMs);
+  void onEnded(const InstanceId &To, double Tokens);
 
   /// What \p Box says of its own requests; replaces what it said before.
-  void told(const BoxName &Box, InstanceLoads Loads, TimePoint Now);
+  void receiveLoads(const BoxName &Box, InstanceLoads Loads, TimePoint Now);
   /// What has changed of what \p Box said before.
-  void toldChanges(const BoxName &Box, const InstanceLoads &Changes,
-                   TimePoint Now);
+  void receiveChanges(const BoxName &Box, const InstanceLoads &Changes,
+                      TimePoint Now);
   /// What has changed of the totals that \p Box tells, which count this box's
-  /// own loads as they were last told; all of them when \p Whole.
-  void toldTotals(const BoxName &Box, const InstanceLoads &Changes, bool Whole,
-                  TimePoint Now);
+  /// own loads as they were last receiveLoads; all of them when \p Whole.
+  void receiveAggregate(const BoxName &Box, const InstanceLoads &Changes,
+                        bool Whole, TimePoint Now);
   /// Changes of this box's own loads since the last call, when together they
   /// are worth telling at once.
   InstanceLoads takeChanges();
-  /// This box's own loads have been told as a whole.
-  void toldAll() { m_Last = m_Own; }
-  void forget(const BoxName &Box) { m_Told.erase(Box); }
-  /// \p Of has started again: nothing of what was sent runs there any more.
-  void startedAgain(const InstanceId &Of);
+  /// This box's own loads have been receiveLoads as a whole.
+  void markAllPublished() { m_Published = m_Own; }
+  void forget(const BoxName &Box) { m_Reports.erase(Box); }
+  /// \p Of has onFirstToken again: nothing of what was onSent runs there any
+  /// more.
+  void onRestart(const InstanceId &Of);
 
   InstanceLoad load(const InstanceId &Of, TimePoint Now) const;
-  /// This box's own loads and what the boxes that \p Counts accepts have told.
+  /// This box's own loads and what the boxes that \p Counts accepts have
+  /// receiveLoads.
   InstanceLoads sum(const std::function<bool(const BoxName &)> &Counts,
                     TimePoint Now) const;
   /// Only what went through this box; for the other boxes.
   const InstanceLoads &own() const { return m_Own; }
 
 private:
-  struct Word {
+  struct PeerReport {
     InstanceLoads m_Loads;
     TimePoint m_At;
-    bool m_CountsOwn = false; ///< This box's loads are among them.
+    bool m_IncludesOwn = false; ///< This box's loads are among them.
   };
 
   static void apply(const InstanceLoads &Changes, InstanceLoads &To);
-  InstanceLoad ofOthers(const Word &Of, const InstanceId &Id) const;
+  InstanceLoad loadFromOthers(const PeerReport &Of, const InstanceId &Id) const;
 
   InstanceLoads m_Own;
-  InstanceLoads m_Last; ///< As last told.
-  std::map<BoxName, Word> m_Told;
+  InstanceLoads m_Published; ///< As last receiveLoads.
+  std::map<BoxName, PeerReport> m_Reports;
 };
 
 } // namespace havenstair
--- a/packages/decisions/process/DemandBook.h
+++ b/packages/decisions/process/ModelDemand.h
@@ -1,7 +1,7 @@
 /// \file
 /// How much work callers ask of each model and adapter.
-#ifndef HAVENSTAIR_DECISIONS_PROCESS_DEMANDBOOK_H
-#define HAVENSTAIR_DECISIONS_PROCESS_DEMANDBOOK_H
+#ifndef HAVENSTAIR_DECISIONS_PROCESS_MODELDEMAND_H
+#define HAVENSTAIR_DECISIONS_PROCESS_MODELDEMAND_H
 
 #include "decisions/common/Time.h"
 #include <compare>
--- a/packages/decisions/process/ServingView.cpp
+++ b/packages/decisions/process/ServingView.cpp
@@ -18,10 +18,10 @@
   for (auto Each = List.m_Instances.begin(); Each != List.m_Instances.end();) {
     UpstreamInstance &Entry = Each->second;
     const auto Before = m_List.m_Instances.find(Each->first);
-    if (m_Lives.believes(Entry.life())) {
-      m_Lives.note(Entry.life());
+    if (m_Lives.isCurrent(Entry.life())) {
+      m_Lives.record(Entry.life());
     } else if (Before != m_List.m_Instances.end() &&
-               m_Lives.believes(Before->second.life())) {
+               m_Lives.isCurrent(Before->second.life())) {
       Entry = Before->second;
     } else {
       Each = List.m_Instances.erase(Each);
@@ -46,7 +46,7 @@
 }
 
 void ServingView::saidLeaving(const UpstreamLife &Server, TimePoint Now) {
-  if (!m_Lives.believes(Server))
+  if (!m_Lives.isCurrent(Server))
     return;
   m_SaidLeaving[Server.m_Id] = {.m_Born = Server.m_Born, .m_Listed = Now};
   const auto Entry = m_List.m_Instances.find(Server.m_Id);
@@ -64,7 +64,7 @@
 ServingView::startedAgain(const InstanceList &List, TimePoint Now) {
   std::vector<UpstreamInstance> Result;
   for (const auto &[Id, Each] : List.m_Instances) {
-    if (!m_ListedLives.note(Each.life()))
+    if (!m_ListedLives.record(Each.life()))
       continue;
     const auto Before = m_List.m_Instances.find(Id);
     Result.push_back(Before == m_List.m_Instances.end() ? Each
@@ -172,7 +172,7 @@
   if (Listed == m_List.m_Instances.end())
     return;
   // It has started again, and the list does not say yet what it is now.
-  if (!m_Lives.believes(Listed->second.life())) {
+  if (!m_Lives.isCurrent(Listed->second.life())) {
     m_Current.erase(Id);
     return;
   }
@@ -188,9 +188,9 @@
 void ServingView::told(const UpstreamLife &Engine,
                        std::vector<ResidentModel> Models,
                        std::set<std::string> Retiring, TimePoint Now) {
-  if (!m_Lives.believes(Engine))
+  if (!m_Lives.isCurrent(Engine))
     return;
-  if (m_Lives.note(Engine))
+  if (m_Lives.record(Engine))
     m_Loads.erase(Engine.m_Id);
   m_Told[Engine.m_Id] = {.m_Models = std::move(Models),
                          .m_Retiring = std::move(Retiring),
@@ -201,7 +201,7 @@
 
 void ServingView::toldLoad(const UpstreamLife &Engine, const std::string &Model,
                            TimePoint ServesAt) {
-  if (!m_Lives.believes(Engine))
+  if (!m_Lives.isCurrent(Engine))
     return;
   if (Model.empty())
     m_Loads.erase(Engine.m_Id);
@@ -270,7 +270,7 @@
     return Result;
   for (const auto &[Id, Each] : m_Leaving)
     if (Now - Each.m_Since <= m_Opts.m_LastResort &&
-        m_Lives.believes(Each.m_Instance.life()) && Fits(Each.m_Instance))
+        m_Lives.isCurrent(Each.m_Instance.life()) && Fits(Each.m_Instance))
       Result.push_back(&Each.m_Instance);
   return Result;
 }
--- a/packages/decisions/process/ServingView.h
+++ b/packages/decisions/process/ServingView.h
@@ -4,7 +4,7 @@
 #define HAVENSTAIR_DECISIONS_PROCESS_SERVINGVIEW_H
 
 #include "decisions/process/Evacuations.h"
-#include "decisions/process/LifeBook.h"
+#include "decisions/process/IncarnationTracker.h"
 #include "decisions/process/UpstreamInstance.h"
 #include <functional>
 #include <map>
@@ -56,7 +56,7 @@
   /// Whether the books are of a later start than \p Life: what is still heard
   /// of that one changes them no more.
   bool past(const UpstreamLife &Life) const {
-    return !m_ListedLives.believes(Life);
+    return !m_ListedLives.isCurrent(Life);
   }
 
   /// \p Server itself says that it leaves, for the rest of its life, whatever
@@ -140,8 +140,8 @@
   Evacuations m_Evacuations;
   std::map<DataCentreName, TimePoint> m_ReturnedAt;
   bool m_Known = false;
-  LifeBook m_Lives;       ///< Of all that was heard.
-  LifeBook m_ListedLives; ///< Of the lists; what the books are of.
+  IncarnationTracker m_Lives;       ///< Of all that was heard.
+  IncarnationTracker m_ListedLives; ///< Of the lists; what the books are of.
   std::map<InstanceId, TimePoint> m_AgainAt;
   std::map<InstanceId, Leaving> m_Leaving;
   std::map<InstanceId, SaidLeaving> m_SaidLeaving;
--- a/packages/decisions/request/ReplicaChoice.h
+++ b/packages/decisions/request/ReplicaChoice.h
@@ -4,9 +4,9 @@
 #define HAVENSTAIR_DECISIONS_REQUEST_REPLICACHOICE_H
 
 #include "decisions/common/DataCentreMap.h"
-#include "decisions/process/FailureBook.h"
+#include "decisions/process/FailureTracker.h"
 #include "decisions/process/LatencyModel.h"
-#include "decisions/process/LoadBook.h"
+#include "decisions/process/LoadTracker.h"
 #include "decisions/process/PrefixIndex.h"
 #include "decisions/process/SendBounds.h"
 #include "decisions/request/RequestDescriptor.h"
@@ -57,10 +57,10 @@
 
 /// The books that the choice reads.
 struct ReplicaKnowledge {
-  const LoadBook &m_Loads;
+  const LoadTracker &m_Loads;
   const PrefixIndex &m_Prefixes;
   const LatencyModel &m_Latency;
-  const FailureBook &m_Failures;
+  const FailureTracker &m_Failures;
   const DataCentreMap &m_DataCentres;
   const SendBounds *m_Bounds = nullptr; ///< Null where none needs a permit.
 };
--- a/packages/gateway/process/BarKeeper.h
+++ b/packages/gateway/process/BarKeeper.h
@@ -3,7 +3,7 @@
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_BARKEEPER_H
 #define HAVENSTAIR_GATEWAY_PROCESS_BARKEEPER_H
 
-#include "decisions/process/CrashBook.h"
+#include "decisions/process/CrashTracker.h"
 #include "gateway/process/CoordinationStore.h"
 #include "wire/common/EventLoop.h"
 #include <map>
@@ -20,7 +20,7 @@
 /// read. Operators let a request through by a key of their own.
 class BarKeeper {
 public:
-  using Bars = std::map<RequestDigest, RequestBar>;
+  using Bars = std::map<RequestDigest, RequestQuarantine>;
 
   BarKeeper(CoordinationStore &Store, DecisionLog &Log, std::string Prefix);
   BarKeeper(const BarKeeper &) = delete;
--- a/packages/gateway/process/ConfigFollower.cpp
+++ b/packages/gateway/process/ConfigFollower.cpp
@@ -26,7 +26,7 @@
 bool ConfigFollower::leavesReads() const {
   if (m_Of.m_Mirror.running())
     return false;
-  const BoxName &Holder = m_Pursuit.holder();
+  const BoxName &Holder = m_Pursuit.source();
   return asksUplink() || (m_Of.m_Fleet.topology().stronger(Holder) &&
                           m_Of.m_Fleet.understands(Holder, PackingProtocol));
 }
@@ -34,11 +34,11 @@
 void ConfigFollower::heard(const BoxName &From, const FleetDigestFrame &Frame,
                            TimePoint Now) {
   const ConfigVersion Known = m_Of.m_State.configVersion();
-  const ConfigPursuit::Word Word{.m_Held = Frame.m_Config,
-                                 .m_Known = Frame.m_ConfigKnown};
+  const ConfigFetchPolicy::PeerVersions Word{.m_Held = Frame.m_Config,
+                                             .m_Known = Frame.m_ConfigKnown};
   if (std::max(Word.m_Held, Word.m_Known) <= Known)
     return;
-  if (m_Pursuit.told(From, Word, Now))
+  if (m_Pursuit.recordReport(From, Word, Now))
     m_Of.m_Log.write("config_told", {{"version", m_Pursuit.newest().m_Version},
                                      {"known", Known},
                                      {"peer", From.str()},
@@ -55,18 +55,18 @@
       m_Pursuit.next({.m_Known = Known,
                       .m_Reading = m_Of.m_Mirror.reading(),
                       .m_Watching = m_Of.m_Mirror.running(),
-                      .m_LeavesReads = Behind && leavesReads()},
+                      .m_DefersReads = Behind && leavesReads()},
                      Now);
   switch (Step) {
   case ConfigStep::None:
     return;
-  case ConfigStep::Ask:
-    return ask(m_Pursuit.holder());
+  case ConfigStep::AskPeer:
+    return ask(m_Pursuit.source());
   case ConfigStep::ReadStale:
     return m_Of.m_Mirror.readOnce(ReadKind::Stale);
   case ConfigStep::ReadCurrent:
     return m_Of.m_Mirror.readOnce(ReadKind::Current);
-  case ConfigStep::ReadAnew:
+  case ConfigStep::RestartWatch:
     m_Hooks.m_DropConnections();
     return m_Of.m_Mirror.resync();
   }
--- a/packages/gateway/process/ConfigFollower.h
+++ b/packages/gateway/process/ConfigFollower.h
@@ -4,7 +4,7 @@
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_CONFIGFOLLOWER_H
 #define HAVENSTAIR_GATEWAY_PROCESS_CONFIGFOLLOWER_H
 
-#include "decisions/process/ConfigPursuit.h"
+#include "decisions/process/ConfigFetchPolicy.h"
 #include "gateway/process/ServingState.h"
 #include "wire/connection/FleetFrames.h"
 #include <functional>
@@ -15,8 +15,8 @@
 class Fleet;
 class PrefixMirror;
 
-/// Takes the steps of ConfigPursuit: asks other boxes for their copy, reads the
-/// store, and begins a dead watch again.
+/// Takes the steps of ConfigFetchPolicy: asks other boxes for their copy, reads
+/// the store, and begins a dead watch again.
 class ConfigFollower {
 public:
   struct Parts {
@@ -47,7 +47,9 @@
   /// compressed: hundreds of leaves that read each version from the store make
   /// more calls than all else that a fleet does.
   bool asksUplink() const;
-  const ConfigPursuit::Told &newest() const { return m_Pursuit.newest(); }
+  const ConfigFetchPolicy::NewestVersion &newest() const {
+    return m_Pursuit.newest();
+  }
   /// How long ago another box first told of a version that this one lacks; 0
   /// when it lacks none.
   Duration behind(TimePoint Now) const;
@@ -58,7 +60,7 @@
 
   Parts m_Of;
   Hooks m_Hooks;
-  ConfigPursuit m_Pursuit;
+  ConfigFetchPolicy m_Pursuit;
 };
 
 } // namespace havenstair
--- a/packages/gateway/process/CrashExchange.cpp
+++ b/packages/gateway/process/CrashExchange.cpp
@@ -46,7 +46,7 @@
 
 CrashExchange::CrashExchange(EventLoop &Loop, HttpClient &Client,
                              CoordinationStore &Store, Fleet &Boxes,
-                             const ServingView &View, CrashBook &Book,
+                             const ServingView &View, CrashTracker &Book,
                              DecisionLog &Log, const std::string &Prefix,
                              Hooks Callbacks)
     : m_Loop(Loop), m_Fleet(Boxes), m_Book(Book), m_Log(Log),
@@ -79,7 +79,7 @@
   m_Watch.prune(Now);
   m_Book.prune(Now);
   if (m_Hooks.m_Writes())
-    m_Keeper.write(m_Book.bars(), Now);
+    m_Keeper.write(m_Book.quarantines(), Now);
 }
 
 void CrashExchange::broke(const UpstreamLife &Server,
@@ -107,7 +107,7 @@
 void CrashExchange::askAfterRuns(TimePoint Now) {
   for (Run &Each : m_Runs) {
     if (Each.m_Asked || Now - Each.m_At < CrashGuard::LivesOnFor / 2 ||
-        !m_Book.suspicious(Each.m_Request, Now))
+        !m_Book.isSuspect(Each.m_Request, Now))
       continue;
     Each.m_Asked = true;
     m_Watch.broke(Each.m_Server, Each.m_Request, Now);
@@ -126,7 +126,7 @@
 }
 
 void CrashExchange::cleared(const RequestDigest &Request) {
-  if (!m_Book.ranWell(Request, EventLoop::now()))
+  if (!m_Book.recordCompletion(Request, EventLoop::now()))
     return;
   m_Log.write("request_cleared",
               {{"digest", Request.str()}, {"by", m_Fleet.self().str()}});
@@ -137,10 +137,10 @@
 
 std::optional<Duration> CrashExchange::hold(const RequestDigest &Request,
                                             TimePoint Now) const {
-  if (const auto JudgedAt = m_Book.judgedAt(Request, Now))
+  if (const auto JudgedAt = m_Book.decisionTime(Request, Now))
     return *JudgedAt - Now + JudgedWithin;
   // One end more, and it would be barred.
-  if (m_Book.suspicious(Request, Now) && m_Watch.asking(Request))
+  if (m_Book.isSuspect(Request, Now) && m_Watch.asking(Request))
     return AskedFor;
   return std::nullopt;
 }
@@ -165,9 +165,9 @@
 /// \returns whether it is new.
 bool CrashExchange::heard(const CrashFrame &Frame) {
   const TimePoint Now = EventLoop::now();
-  const CrashBook::Heard Heard =
-      m_Book.crashed(Frame.m_Server, Frame.m_Running, Now);
-  for (const RequestDigest &Each : Heard.m_RanWell)
+  const CrashTracker::RecordResult Heard =
+      m_Book.recordCrash(Frame.m_Server, Frame.m_Running, Now);
+  for (const RequestDigest &Each : Heard.m_Completed)
     m_Fleet.sendAll(RanWellFrame{.m_Request = Each});
   if (!Heard.m_New)
     return false;
@@ -181,7 +181,7 @@
 void CrashExchange::tellSuspects(const std::vector<RequestDigest> &Among) {
   CrashSuspectsFrame Frame;
   for (const RequestDigest &Each : Among)
-    if (m_Book.suspicious(Each, EventLoop::now()))
+    if (m_Book.isSuspect(Each, EventLoop::now()))
       Frame.m_Requests.push_back(Each);
   if (!Frame.m_Requests.empty())
     m_Fleet.sendLeaves(Frame);
@@ -189,13 +189,14 @@
 
 void CrashExchange::judgeLater() {
   const TimePoint Now = EventLoop::now();
-  if (const auto At = m_Book.settlesAt(Now))
+  if (const auto At = m_Book.nextDecisionTime(Now))
     m_JudgeTimer = m_Loop.after(*At - Now + TimerEarly, [this] { judge(); });
 }
 
 void CrashExchange::judge() {
   const TimePoint Now = EventLoop::now();
-  const std::vector<RequestDigest> Barred = m_Book.judge(m_Fleet.self(), Now);
+  const std::vector<RequestDigest> Barred =
+      m_Book.quarantineSuspects(m_Fleet.self(), Now);
   judgeLater();
   for (const RequestDigest &Each : Barred)
     noteBarred(Each, "judged");
@@ -207,7 +208,7 @@
 void CrashExchange::noteBarred(const RequestDigest &Request,
                                std::string_view How) {
   const TimePoint Now = EventLoop::now();
-  const RequestBar *Bar = m_Book.bar(Request, Now);
+  const RequestQuarantine *Bar = m_Book.findQuarantine(Request, Now);
   if (Bar == nullptr)
     return;
   m_Log.write("request_barred", {{"digest", Request.str()},
@@ -223,7 +224,7 @@
   const TimePoint Now = EventLoop::now();
   std::vector<ToldBar> Result;
   for (const RequestDigest &Each : Of)
-    if (const RequestBar *Bar = m_Book.bar(Each, Now))
+    if (const RequestQuarantine *Bar = m_Book.findQuarantine(Each, Now))
       Result.push_back({.m_Request = Each,
                         .m_Servers = Bar->m_Servers,
                         .m_By = Bar->m_By,
@@ -236,7 +237,7 @@
     const std::map<std::string, StoreItem> &Items) {
   const TimePoint Now = EventLoop::now();
   BarKeeper::News News = m_Keeper.entriesChanged(Items);
-  m_Book.letThrough(std::move(News.m_LetThrough));
+  m_Book.setReleased(std::move(News.m_LetThrough));
   for (auto &[Request, Bar] : News.m_Bars) {
     // How old it is nobody can tell: the boxes that knew may all have ended.
     Bar.m_Since = Now;
@@ -249,7 +250,7 @@
 
 void CrashExchange::linkUp(const BoxName &Box) {
   std::vector<RequestDigest> All;
-  for (const auto &[Request, Bar] : m_Book.bars())
+  for (const auto &[Request, Bar] : m_Book.quarantines())
     All.push_back(Request);
   std::vector<ToldBar> Bars = toldBars(All);
   for (std::size_t At = 0; At < Bars.size(); At += MostTold) {
@@ -283,12 +284,12 @@
 void CrashExchange::take(const BoxName &, const CrashSuspectsFrame &Frame) {
   const TimePoint Now = EventLoop::now();
   for (const RequestDigest &Each : Frame.m_Requests)
-    if (m_Book.suspected(Each, Now))
+    if (m_Book.addSuspect(Each, Now))
       m_Fleet.sendAll(RanWellFrame{.m_Request = Each});
 }
 
 void CrashExchange::take(const BoxName &From, const RanWellFrame &Frame) {
-  if (!m_Book.ranWell(Frame.m_Request, EventLoop::now()))
+  if (!m_Book.recordCompletion(Frame.m_Request, EventLoop::now()))
     return;
   m_Log.write("request_cleared",
               {{"digest", Frame.m_Request.str()}, {"by", From.str()}});
@@ -301,12 +302,12 @@
   RequestBarsFrame New;
   for (const ToldBar &Each : Frame.m_Bars) {
     // Who was cut off as the bar was lifted would keep it up.
-    if (m_Book.pardoned(Each.m_Request))
+    if (m_Book.wasLifted(Each.m_Request))
       m_Fleet.send(From, RanWellFrame{.m_Request = Each.m_Request});
-    const RequestBar Bar{.m_Servers = Each.m_Servers,
-                         .m_By = Each.m_By,
-                         .m_Since = Now - Each.m_Age,
-                         .m_Until = Now + Each.m_Left};
+    const RequestQuarantine Bar{.m_Servers = Each.m_Servers,
+                                .m_By = Each.m_By,
+                                .m_Since = Now - Each.m_Age,
+                                .m_Until = Now + Each.m_Left};
     if (!m_Book.adopt(Each.m_Request, Bar, Now))
       continue;
     noteBarred(Each.m_Request, "told");
--- a/packages/gateway/process/CrashExchange.h
+++ b/packages/gateway/process/CrashExchange.h
@@ -38,7 +38,7 @@
   };
 
   CrashExchange(EventLoop &Loop, HttpClient &Client, CoordinationStore &Store,
-                Fleet &Boxes, const ServingView &View, CrashBook &Book,
+                Fleet &Boxes, const ServingView &View, CrashTracker &Book,
                 DecisionLog &Log, const std::string &Prefix, Hooks Callbacks);
 
   void broke(const UpstreamLife &Server,
@@ -87,7 +87,7 @@
 
   EventLoop &m_Loop;
   Fleet &m_Fleet;
-  CrashBook &m_Book;
+  CrashTracker &m_Book;
   DecisionLog &m_Log;
   Hooks m_Hooks;
   CrashWatch m_Watch;
--- a/packages/gateway/process/Fleet.cpp
+++ b/packages/gateway/process/Fleet.cpp
@@ -163,12 +163,12 @@
     Members.push_back({.m_Box = Box,
                        .m_DataCentre = Each.m_Address->m_DataCentre,
                        .m_Capacity = Each.m_Capacity});
-  m_Topology.listed(std::move(Members));
+  m_Topology.setMembers(std::move(Members));
   link();
 }
 
 bool Fleet::holderIs(const BoxName &Holder) {
-  if (!m_Topology.holderIs(Holder))
+  if (!m_Topology.setLeader(Holder))
     return false;
   link();
   return true;
--- a/packages/gateway/process/FleetExchange.cpp
+++ b/packages/gateway/process/FleetExchange.cpp
@@ -101,7 +101,7 @@
 
 FleetDigestFrame FleetExchange::word(TimePoint Now) {
   FleetDigestFrame Frame;
-  Frame.m_Number = m_Clock.tell(Now);
+  Frame.m_Number = m_Clock.nextNumber(Now);
   m_Lists.describe(Frame, Now);
   Frame.m_Stopping = m_Of.m_State.m_Stopping;
   Frame.m_Giving = m_Of.m_Giver.giving();
@@ -131,7 +131,7 @@
   Frame.m_Leaf = true;
   Frame.m_Totals = m_TotalsHeard;
   Frame.m_Loads = State.m_Loads.own();
-  State.m_Loads.toldAll();
+  State.m_Loads.markAllPublished();
   tellBox(m_Uplink, std::move(Frame));
 }
 
@@ -141,11 +141,11 @@
 }
 
 void FleetExchange::tellRelays(FleetDigestFrame Frame, TimePoint Now) {
-  LoadBook &Loads = m_Of.m_State.m_Loads;
+  LoadTracker &Loads = m_Of.m_State.m_Loads;
   dropSilentLeaves(Now);
   Frame.m_Loads = Loads.sum(
       [this](const BoxName &Box) { return m_Leaves.contains(Box); }, Now);
-  Loads.toldAll();
+  Loads.markAllPublished();
   for (const BoxName &Relay : m_Of.m_Fleet.linkedRelays())
     tellBox(Relay, Frame);
   Frame.m_Demand.clear();
@@ -153,7 +153,7 @@
 }
 
 void FleetExchange::tellLeaves(FleetDigestFrame Frame, TimePoint Now) {
-  const LoadBook &Loads = m_Of.m_State.m_Loads;
+  const LoadTracker &Loads = m_Of.m_State.m_Loads;
   const std::map<BoxName, Leaf> Leaves = m_Leaves;
   for (const auto &[Name, Each] : Leaves) {
     // The next one says all that this one would.
@@ -397,11 +397,11 @@
 
 void FleetExchange::take(const BoxName &From, const FleetDigestFrame &Frame) {
   const TimePoint Now = EventLoop::now();
-  m_Clock.heard(From, Frame.m_Number);
+  m_Clock.recordReceived(From, Frame.m_Number);
   if (Frame.m_Leaf)
     return takeFromLeaf(From, Frame, Now);
   m_Of.m_Giver.heardHolder(From, Frame.m_Holder, Frame.m_Giving,
-                           m_Clock.toldAt(Frame.m_Echo));
+                           m_Clock.sentAt(Frame.m_Echo));
   m_Lists.config().heard(From, Frame, Now);
   m_Lists.noteNewer(Frame, Now);
   if (From == m_Uplink)
@@ -410,7 +410,7 @@
   if (!m_Of.m_Fleet.topology().relay() && From != m_Uplink)
     return;
   if (!Frame.m_LoadsApart)
-    m_Of.m_State.m_Loads.told(From, Frame.m_Loads, Now);
+    m_Of.m_State.m_Loads.receiveLoads(From, Frame.m_Loads, Now);
   m_Of.m_Giver.demanded(Frame.m_Demand);
   m_Lists.heard(From, Frame, heldUp(Frame, Now), Now);
 }
@@ -424,7 +424,7 @@
   if (Frame.m_Totals == 0)
     Place->second.m_Totals = 0;
   ServingState &State = m_Of.m_State;
-  State.m_Loads.told(From, Frame.m_Loads, Now);
+  State.m_Loads.receiveLoads(From, Frame.m_Loads, Now);
   // Told to the other relays as part of this box's own demand.
   for (const auto &[Key, Demand] : Frame.m_Demand)
     State.m_Demand[Key] += Demand;
@@ -440,12 +440,12 @@
 /// times: held up by a link, or unread by this box while it was busy.
 Duration FleetExchange::heldUp(const FleetDigestFrame &Frame,
                                TimePoint Now) const {
-  const TimePoint SaidAfter = m_Clock.toldAt(Frame.m_Echo);
+  const TimePoint SaidAfter = m_Clock.sentAt(Frame.m_Echo);
   return std::clamp<Duration>(Now - SaidAfter - UsualEcho, 0us, NoListAge);
 }
 
 void FleetExchange::take(const BoxName &From, const FleetLoadsFrame &Frame) {
-  m_Of.m_State.m_Loads.toldChanges(From, Frame.m_Loads, EventLoop::now());
+  m_Of.m_State.m_Loads.receiveChanges(From, Frame.m_Loads, EventLoop::now());
 }
 
 void FleetExchange::take(const BoxName &From, const FleetTotalsFrame &Frame) {
@@ -455,8 +455,8 @@
   const bool Follows = Whole || Frame.m_Since == m_TotalsHeard;
   m_TotalsHeard = Follows ? Frame.m_Number : 0;
   if (Follows)
-    m_Of.m_State.m_Loads.toldTotals(From, Frame.m_Loads, Whole,
-                                    EventLoop::now());
+    m_Of.m_State.m_Loads.receiveAggregate(From, Frame.m_Loads, Whole,
+                                          EventLoop::now());
 }
 
 void FleetExchange::take(const BoxName &, const FleetContentsFrame &Frame) {
--- a/packages/gateway/process/Gateway.cpp
+++ b/packages/gateway/process/Gateway.cpp
@@ -342,7 +342,7 @@
   Now.m_GivesOrders = m_Giver.giving() ? 1 : 0;
   Now.m_FencingToken = Number(m_Giver.holder().m_Token);
   Now.m_LogLinesLeftOut = Number(m_Log.leftOut());
-  Now.m_BarredRequests = Number(m_State.m_Crashes.bars().size());
+  Now.m_BarredRequests = Number(m_State.m_Crashes.quarantines().size());
   Now.m_BackedOffServers = Number(m_State.m_Words.backedOff(EventLoop::now()));
   Now.m_LimitedServers = Number(m_State.m_Words.limits().size());
   Now.m_Cold = m_State.m_WarmUp.coldByDataCentre(EventLoop::now());
@@ -418,7 +418,8 @@
 
 void Gateway::logConfig(const ServingConfig &Read, StoreRevision Revision) {
   const TimePoint Now = EventLoop::now();
-  const ConfigPursuit::Told &Known = m_Exchange.lists().config().newest();
+  const ConfigFetchPolicy::NewestVersion &Known =
+      m_Exchange.lists().config().newest();
   const bool Told = Known.m_Version >= Read.m_Version;
   const char *Source = toString(m_ConfigMirror.source());
   m_Metrics.configTaken(Source);
--- a/packages/gateway/process/HolderClaim.cpp
+++ b/packages/gateway/process/HolderClaim.cpp
@@ -46,7 +46,7 @@
   const auto Key = Items.find(m_Opts.m_Prefix + HolderKey);
   m_KeyRevision = Key == Items.end() ? 0 : Key->second.m_Revision;
   if (Key != Items.end())
-    m_View.known(
+    m_View.observeTerm(
         {.m_Token = m_KeyRevision, .m_Box = BoxName(Key->second.m_Value)},
         EventLoop::now());
   const auto Term = Items.find(m_Opts.m_Prefix + TermKey);
@@ -55,15 +55,15 @@
   stopIfReplaced();
 }
 
-void HolderClaim::heardHolder(const BoxName &From, const OrderHolder &Known,
+void HolderClaim::heardHolder(const BoxName &From, const LeaderTerm &Known,
                               bool Giving, TimePoint SaidAfter) {
-  m_View.heard(From, Known, Giving, SaidAfter, EventLoop::now());
+  m_View.receiveReport(From, Known, Giving, SaidAfter, EventLoop::now());
   stopIfReplaced();
 }
 
 void HolderClaim::setVoters(std::set<BoxName> Others, bool Eligible) {
   m_Voters = std::ssize(Others);
-  m_View.listed(std::move(Others));
+  m_View.setMembers(std::move(Others));
   m_Eligible = Eligible;
 }
 
@@ -76,18 +76,18 @@
 bool HolderClaim::sure(TimePoint Now) const {
   return m_Taken && m_Key.held(Now) &&
          (Now - m_Hooks.m_HolderRead() <= HolderReadCounts ||
-          m_View.vouched(Now));
+          m_View.confirmedByMajority(Now));
 }
 
 void HolderClaim::stopIfReplaced() {
-  if (m_Taken && m_View.holder().m_Token > m_Token)
+  if (m_Taken && m_View.leader().m_Token > m_Token)
     m_Key.release();
 }
 
 /// Nobody gives orders, as far as this box and a majority know.
 bool HolderClaim::mayClaim(TimePoint Now) const {
   return m_EntriesKnown && m_Eligible && m_Hooks.m_Prepared() &&
-         m_View.hearsMajority(Now) && !m_View.holderActive(Now);
+         m_View.majorityReachable(Now) && !m_View.leaderActive(Now);
 }
 
 bool HolderClaim::claimDue(TimePoint Now) {
@@ -125,8 +125,8 @@
 void HolderClaim::claimed(StoreRevision Revision) {
   m_Taken = true;
   m_Token = Revision;
-  m_View.known({.m_Token = Revision, .m_Box = BoxName(m_Opts.m_Process)},
-               EventLoop::now());
+  m_View.observeTerm({.m_Token = Revision, .m_Box = BoxName(m_Opts.m_Process)},
+                     EventLoop::now());
   m_Hooks.m_Taken({.m_Holder = m_TermHolder,
                    .m_None = m_TermRevision == 0,
                    .m_SameMachine = m_TermHolder == m_Opts.m_Holder});
@@ -146,7 +146,7 @@
   const TimePoint Before = std::exchange(m_TickedAt, Now);
   if (Before == TimePoint{} || Now - Before < Pause)
     return;
-  m_View.paused(Now);
+  m_View.onPause(Now);
   m_Log.write("paused", {{"for_ms", (Now - Before) / 1ms}});
 }
 
--- a/packages/gateway/process/HolderClaim.h
+++ b/packages/gateway/process/HolderClaim.h
@@ -4,7 +4,7 @@
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_HOLDERCLAIM_H
 #define HAVENSTAIR_GATEWAY_PROCESS_HOLDERCLAIM_H
 
-#include "decisions/process/HolderView.h"
+#include "decisions/process/LeaderView.h"
 #include "gateway/process/LeasedKey.h"
 #include <cstddef>
 #include <functional>
@@ -54,7 +54,7 @@
   /// The store's keys have changed; \p Items are those of the whole prefix.
   void entriesChanged(const std::map<std::string, StoreItem> &Items);
   /// Another box told whom it knows to give orders.
-  void heardHolder(const BoxName &From, const OrderHolder &Known, bool Giving,
+  void heardHolder(const BoxName &From, const LeaderTerm &Known, bool Giving,
                    TimePoint SaidAfter);
   /// The other boxes whose majority decides, and whether this one may claim.
   void setVoters(std::set<BoxName> Others, bool Eligible);
@@ -64,7 +64,7 @@
   /// Gives the key up.
   void release() { m_Key.release(); }
 
-  const OrderHolder &holder() const { return m_View.holder(); }
+  const LeaderTerm &holder() const { return m_View.leader(); }
   bool eligible() const { return m_Eligible; }
   /// Whether this box has the key, as far as it knows.
   bool taken() const { return m_Taken; }
@@ -85,7 +85,7 @@
   DecisionLog &m_Log;
   Options m_Opts;
   Hooks m_Hooks;
-  HolderView m_View;
+  LeaderView m_View;
   LeasedKey m_Key;
   bool m_EntriesKnown = false;
   bool m_Eligible = true;
--- a/packages/gateway/process/LeasedKey.cpp
+++ b/packages/gateway/process/LeasedKey.cpp
@@ -64,9 +64,9 @@
       guarded([this, Now](StoreStatus Status, LeaseId Lease, Duration) {
         answered(Status);
         if (Status != StoreStatus::Ok)
-          return m_Keeper.failed(EventLoop::now() + m_Backoff.next());
+          return m_Keeper.onFailed(EventLoop::now() + m_Backoff.next());
         m_Lease = Lease;
-        m_Keeper.granted(std::to_string(Lease), Now);
+        m_Keeper.onGranted(std::to_string(Lease), Now);
         claim(Now);
       }));
 }
@@ -75,16 +75,16 @@
   m_Store.keepLease(m_Lease, guarded([this, Now](StoreStatus Status) {
                       answered(Status);
                       if (Status == StoreStatus::Ok) {
-                        m_Keeper.granted(std::to_string(m_Lease), Now);
+                        m_Keeper.onGranted(std::to_string(m_Lease), Now);
                         if (!m_Claimed)
                           claim(Now);
                         return;
                       }
                       if (Status != StoreStatus::NotFound)
-                        return m_Keeper.failed(EventLoop::now() +
-                                               m_Backoff.next());
+                        return m_Keeper.onFailed(EventLoop::now() +
+                                                 m_Backoff.next());
                       m_Lease = 0;
-                      m_Keeper.lost(EventLoop::now());
+                      m_Keeper.onLost(EventLoop::now());
                       lose();
                     }));
 }
@@ -122,7 +122,7 @@
   ++m_Round;
   m_Claiming = false;
   m_Keeper = LeaseKeeper(keeperOptions(m_Opts));
-  m_Keeper.failed(EventLoop::now() + m_Backoff.next());
+  m_Keeper.onFailed(EventLoop::now() + m_Backoff.next());
   lose();
   if (Ended != 0)
     m_Store.endLease(Ended, [](StoreStatus) {});
--- a/packages/gateway/process/ManagedEngine.cpp
+++ b/packages/gateway/process/ManagedEngine.cpp
@@ -29,14 +29,14 @@
     return false;
   if (std::exchange(m_Born, Born) == 0)
     return false;
-  m_Ledger.startAgain(Now);
+  m_Ledger.onRestart(Now);
   beginAnew();
   return true;
 }
 
 bool ManagedEngine::heard(const ResidencyReport &Report, TimePoint Now,
                           TimePoint AskedAt) {
-  if (!m_Ledger.heard(Report, Now, AskedAt))
+  if (!m_Ledger.applyReport(Report, Now, AskedAt))
     return false;
   beginAnew();
   return true;
@@ -79,7 +79,7 @@
 }
 
 void ManagedEngine::expectOverdue(TimePoint Now) {
-  const auto &Order = m_Ledger.modelOrder();
+  const auto &Order = m_Ledger.acceptedModelOrder();
   if (Order && Order->m_Load && Now >= m_ServesAt)
     m_ServesAt = Now + OverdueIn;
 }
@@ -104,7 +104,7 @@
     Planned.m_Models.insert(Model);
     Planned.m_Coming[Model] = std::max(0.0, inMillis(m_ServesAt - Now));
   };
-  if (const auto &Order = m_Ledger.modelOrder();
+  if (const auto &Order = m_Ledger.acceptedModelOrder();
       Order && Order->m_Load && !Order->m_Model.empty())
     Comes(Order->m_Model);
   if (!m_Task)
@@ -137,13 +137,14 @@
       .m_Engine = Id, .m_Born = m_Born, .m_Models = m_Ledger.models()};
   if (Now - m_AdapterOrderAt >= AdapterArrivesIn)
     for (ResidentModel &Model : Result.m_Models)
-      for (const std::string &Adapter : m_Ledger.comingAdapters(Model.m_Name))
+      for (const std::string &Adapter : m_Ledger.loadingAdapters(Model.m_Name))
         Model.m_Adapters.insert(Adapter);
   if (m_Task && m_Task->m_Phase != EngineTask::Phase::Loading)
     Result.m_Retiring.insert(m_Task->m_Move.m_Evict);
   if (m_Task)
     Result.m_Loading = m_Task->m_Move.m_Load;
-  else if (const auto &Order = m_Ledger.modelOrder(); Order && Order->m_Load)
+  else if (const auto &Order = m_Ledger.acceptedModelOrder();
+           Order && Order->m_Load)
     Result.m_Loading = Order->m_Model;
   return Result;
 }
--- a/packages/gateway/process/OrderGiver.cpp
+++ b/packages/gateway/process/OrderGiver.cpp
@@ -116,13 +116,13 @@
   m_Engines.clear();
   m_Gone.clear();
   m_ClaimedAt = Now;
-  m_Ceiling = LoadCeiling();
+  m_Ceiling = LoadRateLimiter();
   m_Expected = false;
   // Nobody tells the holder before that it is one no more at once.
   const TimePoint LastOrder = Own ? Now : Now + LastOrderOfOther;
   m_FormerOrdersUntil = Before.m_None ? Now : LastOrder + ReportLag;
   if (!Before.m_None)
-    m_Ceiling.takeOver(LastOrder);
+    m_Ceiling.assumeFullWindow(LastOrder);
   m_Log.write("giver", {{"token", m_Claim.token()},
                         {"before", Before.m_Holder},
                         {"orders_in_ms", (m_MayOrderFrom - Now) / 1ms}});
@@ -241,8 +241,8 @@
     const auto Entry = Listed.find(Each.first);
     if (Entry != Listed.end() && specOf(Entry->second.m_Service) != nullptr)
       return false;
-    m_Ceiling.settled(Each.first, Now + OrderOutlivesEntry);
-    m_Gone[Each.first] = Each.second.m_Ledger.lateWithCall(Now);
+    m_Ceiling.onSettled(Each.first, Now + OrderOutlivesEntry);
+    m_Gone[Each.first] = Each.second.m_Ledger.lateOrdersWithCall(Now);
     return true;
   });
   for (const auto &[Id, Entry] : m_State.m_Upstreams.list().m_Instances) {
@@ -256,8 +256,8 @@
     if (New && (Before || Now - m_ClaimedAt < SettleFor))
       m_GrewAt = Now;
     if (Before) {
-      Known.m_Ledger.setLate(Before.mapped());
-      Known.m_Ledger.passTime(Now);
+      Known.m_Ledger.setLateOrders(Before.mapped());
+      Known.m_Ledger.expireLateOrders(Now);
     }
     const auto AgainAt = m_State.m_Upstreams.startedAgainAt(Id);
     const bool Again = Known.startedAgain(Entry.m_Born, Now);
@@ -265,7 +265,7 @@
       countLateOrders(Id, Known, Now);
     // The first word is the engine's own: the list lags behind it.
     if (Known.m_Ledger.known())
-      Known.m_Ledger.listed(Entry);
+      Known.m_Ledger.applyListEntry(Entry);
     if (m_State.m_Upstreams.leaves(Entry))
       Known.m_Task.reset();
   }
@@ -275,14 +275,14 @@
 /// one.
 void OrderGiver::countLateOrders(const InstanceId &Id, ManagedEngine &Of,
                                  TimePoint Now) {
-  const std::size_t Loads = Of.m_Ledger.late().modelLoads();
-  m_Ceiling.settled(Id, Now);
-  m_Ceiling.mayBegin(Loads, Now + OrderLife);
+  const std::size_t Loads = Of.m_Ledger.lateOrders().modelLoads();
+  m_Ceiling.onSettled(Id, Now);
+  m_Ceiling.addPossibleStarts(Loads, Now + OrderLife);
   // Those of the holder before this one are not known.
   const TimePoint FormerLate = m_FormerOrdersUntil + OrderLife;
   const bool Held = m_FormerOrdersUntil > m_ClaimedAt && Now < FormerLate;
   if (Held)
-    Of.m_Ledger.holdUntil(FormerLate);
+    Of.m_Ledger.blockLoadsUntil(FormerLate);
   m_Log.write("engine_again", {{"engine", Id},
                                {"born", Of.m_Born},
                                {"late_loads", Loads},
@@ -303,7 +303,7 @@
     for (auto &[Id, Each] : m_Engines) {
       const EngineLedger &Ledger = Each.m_Ledger;
       const bool Due = Ledger.known() == Known && !Each.m_ReportAsked &&
-                       Ledger.needsReport() && !Ledger.waitsForAnswer() &&
+                       Ledger.needsReport() && !Ledger.awaitsAnswer() &&
                        Now >= Each.m_NextReport;
       if (!Due || Asked >= MostReportsAsked)
         continue;
@@ -361,7 +361,7 @@
       continue;
     if (const EngineSpec *Spec = specOf(Entry->second.m_Service))
       advance(Id, Each, *Spec, Now);
-    Each.m_Ledger.passTime(Now);
+    Each.m_Ledger.expireLateOrders(Now);
     Each.expectOverdue(Now);
   }
 }
@@ -374,14 +374,15 @@
   }
   const bool Unloading =
       Of.m_Task && Of.m_Task->m_Phase != EngineTask::Phase::Loading;
-  if (Unloading && !Of.m_Ledger.modelOrder() &&
+  if (Unloading && !Of.m_Ledger.acceptedModelOrder() &&
       Now - Of.m_Task->m_Since > UnloadWithin)
     Of.m_Task.reset();
   if (!Of.m_Task)
     return;
   if (!Of.m_Ledger.idle()) {
     // Counted as a replica that comes, it would keep others from being loaded.
-    if (!Of.m_Ledger.modelOrder() && Now - Of.m_Task->m_Since > BeginWithin)
+    if (!Of.m_Ledger.acceptedModelOrder() &&
+        Now - Of.m_Task->m_Since > BeginWithin)
       Of.m_Task.reset();
     return;
   }
@@ -441,9 +442,9 @@
   const bool FromStore =
       Order.m_Load && Order.m_Adapter.empty() && Source == LoadSource::Store;
   if (FromStore) {
-    if (m_Ceiling.left(Now) == 0)
+    if (m_Ceiling.available(Now) == 0)
       return false;
-    m_Ceiling.ordered(Id);
+    m_Ceiling.onOrdered(Id);
   }
   const OrderStamp Stamp{.m_Holder = m_Opts.m_Claim.m_Holder,
                          .m_FencingToken = m_Claim.token(),
@@ -472,8 +473,8 @@
 /// A load has begun, or never will, once the engine's word is in.
 void OrderGiver::settleLoad(const InstanceId &Id, const ManagedEngine &Of,
                             TimePoint Now) {
-  if (!Of.m_Ledger.uncertain() && !Of.m_Ledger.waitsForAnswer())
-    m_Ceiling.settled(Id, Now);
+  if (!Of.m_Ledger.uncertain() && !Of.m_Ledger.awaitsAnswer())
+    m_Ceiling.onSettled(Id, Now);
 }
 
 void OrderGiver::orderAnswered(const UpstreamLife &Engine,
@@ -493,7 +494,7 @@
   if (Found == m_Engines.end() || !Found->second.present(Engine.m_Born))
     return;
   ManagedEngine &Of = Found->second;
-  Of.m_Ledger.answered(Answer, Now);
+  Of.m_Ledger.recordAnswer(Answer, Now);
   const bool ModelLoad = Order.m_Load && Order.m_Adapter.empty();
   settleLoad(Id, Of, Now);
   Of.m_NextReport = Now + UnloadTakes;
@@ -583,7 +584,7 @@
 /// still under way at its end: once all engines have spoken, those under way
 /// are all that count of the former holder's.
 void OrderGiver::countFormerLoads(TimePoint Now) {
-  if (!m_Ceiling.takenOver())
+  if (!m_Ceiling.assumesFullWindow())
     return;
   const auto Shortest = m_State.m_Config->shortestStoreLoad();
   if (!Shortest ||
@@ -592,9 +593,9 @@
   const auto UnderWay = static_cast<std::size_t>(
       std::count_if(m_Engines.begin(), m_Engines.end(), [](const auto &Each) {
         const EngineLedger &Ledger = Each.second.m_Ledger;
-        return !Ledger.known() || Ledger.modelOrder();
+        return !Ledger.known() || Ledger.acceptedModelOrder();
       }));
-  m_Ceiling.formerLoads(UnderWay, Now);
+  m_Ceiling.setFormerLoads(UnderWay, Now);
   m_Log.write("former_loads",
               {{"under_way", UnderWay}, {"engines", m_Engines.size()}});
 }
@@ -602,7 +603,7 @@
 PlannerInput OrderGiver::plannerInput(const std::string &Service,
                                       TimePoint Now) {
   PlannerInput Input;
-  Input.m_StoreLoads = m_Ceiling.left(Now);
+  Input.m_StoreLoads = m_Ceiling.available(Now);
   Input.m_StoreSlowness = m_StoreSlowness.factor();
   ModelDemand All;
   for (const auto &[Key, Rate] : m_Rates.rates(Now))
@@ -610,7 +611,7 @@
       Input.m_Demand[Key.m_Model] = Rate.m_WorkMs / 1000;
       All += Rate;
     }
-  for (const auto &[Key, Rate] : m_Rates.usual(Now))
+  for (const auto &[Key, Rate] : m_Rates.baseline(Now))
     if (Key.m_Service == Service)
       Input.m_Usual[Key.m_Model] = Rate.m_WorkMs / 1000;
   for (const auto &[Key, Since] : m_Missing)
--- a/packages/gateway/process/OrderGiver.h
+++ b/packages/gateway/process/OrderGiver.h
@@ -4,7 +4,7 @@
 #define HAVENSTAIR_GATEWAY_PROCESS_ORDERGIVER_H
 
 #include "decisions/process/DemandRates.h"
-#include "decisions/process/LoadCeiling.h"
+#include "decisions/process/LoadRateLimiter.h"
 #include "decisions/process/ReplicaPlanner.h"
 #include "decisions/process/StoreSlowness.h"
 #include "gateway/process/EngineControl.h"
@@ -73,7 +73,7 @@
   void setBounds(const ServingBounds &Bounds);
 
   /// Another box told whom it knows to give orders.
-  void heardHolder(const BoxName &From, const OrderHolder &Known, bool Giving,
+  void heardHolder(const BoxName &From, const LeaderTerm &Known, bool Giving,
                    TimePoint SaidAfter) {
     m_Claim.heardHolder(From, Known, Giving, SaidAfter);
   }
@@ -83,7 +83,7 @@
   void boxLost(const BoxName &Box) { m_Claim.boxLost(Box); }
 
   /// Whom this box knows to give orders.
-  const OrderHolder &holder() const { return m_Claim.holder(); }
+  const LeaderTerm &holder() const { return m_Claim.holder(); }
   bool giving() const { return m_Claim.taken(); }
   /// Contents of all engines, for a box that has just been linked.
   FleetContentsFrame contents() const;
@@ -167,7 +167,7 @@
   std::map<InstanceId, LateOrders> m_Gone;
   std::map<InstanceId, ManagedEngine> m_Engines;
   std::map<ModelKey, Wanted> m_Missing;
-  LoadCeiling m_Ceiling;
+  LoadRateLimiter m_Ceiling;
   ShortageLog m_Shortage;
   StoreSlowness m_StoreSlowness;
   Timer m_Timer;
--- a/packages/gateway/process/QuotaExchange.cpp
+++ b/packages/gateway/process/QuotaExchange.cpp
@@ -80,7 +80,7 @@
   std::set<std::string> Machines;
   for (const BoxName &Process : m_Fleet.processes())
     Machines.insert(machineOf(Process));
-  m_Census.listed(std::move(Machines), Now);
+  m_Census.setListed(std::move(Machines), Now);
   // The levels of a leaf are those of its own part only.
   if (counts() != m_Counts) {
     m_Counts = counts();
--- a/packages/gateway/process/ServingState.h
+++ b/packages/gateway/process/ServingState.h
@@ -4,11 +4,11 @@
 #define HAVENSTAIR_GATEWAY_PROCESS_SERVINGSTATE_H
 
 #include "decisions/common/DataCentreMap.h"
-#include "decisions/process/CrashBook.h"
-#include "decisions/process/DemandBook.h"
-#include "decisions/process/FailureBook.h"
+#include "decisions/process/CrashTracker.h"
+#include "decisions/process/FailureTracker.h"
 #include "decisions/process/LatencyModel.h"
-#include "decisions/process/LoadBook.h"
+#include "decisions/process/LoadTracker.h"
+#include "decisions/process/ModelDemand.h"
 #include "decisions/process/PrefixIndex.h"
 #include "decisions/process/SendBounds.h"
 #include "decisions/process/ServerWords.h"
@@ -36,11 +36,11 @@
   WarmUpView m_WarmUp;
   ServerWords m_Words;
   SendBounds m_SendBounds{m_WarmUp, m_Words};
-  LoadBook m_Loads;
+  LoadTracker m_Loads;
   PrefixIndex m_Prefixes{PrefixTokens};
   LatencyModel m_Latency;
-  FailureBook m_Failures;
-  CrashBook m_Crashes;
+  FailureTracker m_Failures;
+  CrashTracker m_Crashes;
   SharedRetryBudget m_Budget{{}, EventLoop::now()};
   CallerClock m_Callers;
   ModelDemands m_Demand; ///< Since it was last taken.
@@ -58,7 +58,7 @@
     if (!m_Upstreams.list().m_Instances.contains(Id))
       return;
     m_Failures.forget(Id);
-    m_Loads.startedAgain(Id);
+    m_Loads.onRestart(Id);
   }
 
   void standsIn(const DataCentreName &Own, DataCentreMap Map) {
--- a/packages/gateway/request/CrashGuard.cpp
+++ b/packages/gateway/request/CrashGuard.cpp
@@ -21,10 +21,10 @@
 
 void CrashGuard::keepApart(std::vector<const UpstreamInstance *> &Candidates,
                            bool Broke, TimePoint Now) const {
-  const bool Several = m_Book.suspicious(m_Request, Now);
+  const bool Several = m_Book.isSuspect(m_Request, Now);
   const std::size_t Left = Several ? 1 : (Candidates.size() + 1) / 2;
   if (Candidates.size() < 2 ||
-      !(Several || Broke || m_Book.crashes(m_Request, Now) > 0))
+      !(Several || Broke || m_Book.crashCount(m_Request, Now) > 0))
     return;
   // By rendezvous, so that boxes need not tell each other who is where.
   const auto Weight = [&](const UpstreamInstance *Each) {
@@ -38,7 +38,7 @@
 
 std::optional<Duration> CrashGuard::pause(double Random, Duration TimeLeft,
                                           TimePoint Now) {
-  if (!m_Book.doubtful(m_Request, Now) && !m_Book.suspicious(m_Request, Now))
+  if (!m_Book.isAmbiguous(m_Request, Now) && !m_Book.isSuspect(m_Request, Now))
     return std::nullopt;
   if (!m_PausedUntil) {
     const Duration Within = std::min(LongestPause, TimeLeft / 2);
--- a/packages/gateway/request/CrashGuard.h
+++ b/packages/gateway/request/CrashGuard.h
@@ -3,7 +3,7 @@
 #ifndef HAVENSTAIR_GATEWAY_REQUEST_CRASHGUARD_H
 #define HAVENSTAIR_GATEWAY_REQUEST_CRASHGUARD_H
 
-#include "decisions/process/CrashBook.h"
+#include "decisions/process/CrashTracker.h"
 #include "decisions/process/UpstreamInstance.h"
 #include "gateway/request/CrashDesk.h"
 #include <memory>
@@ -21,14 +21,14 @@
   static constexpr Duration LivesOnFor = 1s;
 
   /// The desk may end before the request does.
-  CrashGuard(RequestDigest Request, const CrashBook &Book,
+  CrashGuard(RequestDigest Request, const CrashTracker &Book,
              std::weak_ptr<CrashDesk> Desk)
       : m_Request(std::move(Request)), m_Book(Book), m_Desk(std::move(Desk)) {}
 
   const RequestDigest &digest() const { return m_Request; }
   /// Null while it may be sent.
-  const RequestBar *bar(TimePoint Now) const {
-    return m_Book.bar(m_Request, Now);
+  const RequestQuarantine *bar(TimePoint Now) const {
+    return m_Book.findQuarantine(m_Request, Now);
   }
   /// How long it waits before it is sent; none when it need not.
   std::optional<Duration> hold(TimePoint Now) const;
@@ -52,7 +52,7 @@
 
 private:
   RequestDigest m_Request;
-  const CrashBook &m_Book;
+  const CrashTracker &m_Book;
   std::weak_ptr<CrashDesk> m_Desk;
   std::optional<TimePoint> m_PausedUntil;
 };
--- a/packages/gateway/request/ProxiedRequest.cpp
+++ b/packages/gateway/request/ProxiedRequest.cpp
@@ -319,7 +319,7 @@
 /// Whether the request has its final answer, as servers ended under it. It is
 /// known by its content, as each try has another id.
 bool ProxiedRequest::refusedBarred(TimePoint Now) {
-  const RequestBar *Bar = m_Crashes.bar(Now);
+  const RequestQuarantine *Bar = m_Crashes.bar(Now);
   if (Bar == nullptr)
     return false;
   if (m_BytesPassed)
@@ -442,7 +442,7 @@
                        {"work_ms", std::lround(Chosen.m_WorkMs)},
                        {"expected_ms", std::lround(Chosen.m_ExpectedMs)}});
   HttpCall Call = makeCall(To, Now);
-  State.m_Loads.sent(To.m_Id, Chosen.m_WorkMs, m_Send->m_Tokens);
+  State.m_Loads.onSent(To.m_Id, Chosen.m_WorkMs, m_Send->m_Tokens);
   if (!m_Request.m_Model.empty())
     State.m_Prefixes.noteRead(To.m_Id, m_Request);
   m_Call = m_Owner.m_Client.start(std::move(Call));
@@ -508,7 +508,7 @@
     return;
   ServingState &State = m_Owner.m_State;
   const double Observed = inMillis(Now - m_Send->m_At);
-  State.m_Loads.started(m_Send->m_Instance, m_Send->m_WorkMs);
+  State.m_Loads.onFirstToken(m_Send->m_Instance, m_Send->m_WorkMs);
   State.m_Latency.observe(m_Send->m_Instance, m_Request.m_Model,
                           m_Send->m_PendingMs, m_Send->m_WorkMs, Observed);
 }
@@ -566,11 +566,11 @@
   if (upstreamStartedAgain())
     return;
   if (Outcome == SendOutcome::Answered)
-    State.m_Failures.succeeded(At, Now);
+    State.m_Failures.recordSuccess(At, Now);
   else if (Outcome == SendOutcome::NotSent)
-    State.m_Failures.unreachable(At, Now);
+    State.m_Failures.recordUnreachable(At, Now);
   else
-    State.m_Failures.failed(At, Now);
+    State.m_Failures.recordFailure(At, Now);
 }
 
 /// Whether the upstream ran all of the request. A failure may come without a
@@ -589,10 +589,10 @@
   if (!m_Send || !std::exchange(m_Send->m_Counted, false) ||
       upstreamStartedAgain())
     return;
-  LoadBook &Loads = m_Owner.m_State.m_Loads;
+  LoadTracker &Loads = m_Owner.m_State.m_Loads;
   if (!m_Send->m_Started)
-    Loads.started(m_Send->m_Instance, m_Send->m_WorkMs);
-  Loads.ended(m_Send->m_Instance, m_Send->m_Tokens);
+    Loads.onFirstToken(m_Send->m_Instance, m_Send->m_WorkMs);
+  Loads.onEnded(m_Send->m_Instance, m_Send->m_Tokens);
 }
 
 ForwardingStep ProxiedRequest::decide(SendOutcome Outcome, TimePoint Now) {
--- a/packages/havenstaird/process/Box.cpp
+++ b/packages/havenstaird/process/Box.cpp
@@ -342,7 +342,7 @@
     All.insert(Record.m_DataCentre);
   All.insert(m_Settings.m_DataCentre);
   const auto Place = All.find(m_Settings.m_DataCentre);
-  return concurrencyPart(
+  return concurrencyShare(
       Limit, {.m_Index = static_cast<int>(std::distance(All.begin(), Place)),
               .m_Boxes = static_cast<int>(All.size())});
 }
--- a/packages/havenstaird/process/Membership.cpp
+++ b/packages/havenstaird/process/Membership.cpp
@@ -203,7 +203,7 @@
         if (Status == PlatformStatus::Ok)
           publish(Id, SentAt);
         else
-          m_Lease.failed(EventLoop::now() + m_LeaseBackoff.next());
+          m_Lease.onFailed(EventLoop::now() + m_LeaseBackoff.next());
       });
 }
 
@@ -212,12 +212,12 @@
   m_Platform.acquire(boxKey(), dumpJson(toJson(m_Opts.m_Self)), SessionId,
                      [this, SessionId, SentAt](PlatformStatus Status) {
                        if (Status != PlatformStatus::Ok) {
-                         m_Lease.failed(EventLoop::now() +
-                                        m_LeaseBackoff.next());
+                         m_Lease.onFailed(EventLoop::now() +
+                                          m_LeaseBackoff.next());
                          return;
                        }
                        m_LeaseBackoff.reset();
-                       m_Lease.granted(SessionId, SentAt);
+                       m_Lease.onGranted(SessionId, SentAt);
                        logInfo(LogPart::Lease, "Holds its lease.");
                      });
 }
@@ -228,12 +228,12 @@
       SessionId, [this, SessionId, SentAt](PlatformStatus Status) {
         if (Status == PlatformStatus::Ok) {
           m_LeaseBackoff.reset();
-          m_Lease.granted(SessionId, SentAt);
+          m_Lease.onGranted(SessionId, SentAt);
         } else if (Status == PlatformStatus::NotFound) {
           logWarning(LogPart::Lease, "Lost its lease.");
-          m_Lease.lost(EventLoop::now());
+          m_Lease.onLost(EventLoop::now());
         } else {
-          m_Lease.failed(EventLoop::now() + m_LeaseBackoff.next());
+          m_Lease.onFailed(EventLoop::now() + m_LeaseBackoff.next());
         }
       });
 }
--- a/packages/havenstaird/process/PolicySettings.cpp
+++ b/packages/havenstaird/process/PolicySettings.cpp
@@ -39,7 +39,7 @@
     {"--long-answer-ms", "time in which nearly all answers end", 0, 600000,
      [](GatewayPolicy &P) -> double & { return P.m_Planner.m_LongAnswerMs; }},
     {"--demand-trend", "seconds that demand is told ahead", 0, 10,
-     [](GatewayPolicy &P) -> double & { return P.m_Rates.m_Trend; }},
+     [](GatewayPolicy &P) -> double & { return P.m_Rates.m_LookaheadSeconds; }},
     {"--adapter-rate", "requests a second for each copy of an adapter", 0.01,
      1000,
      [](GatewayPolicy &P) -> double & { return P.m_Adapters.m_RatePerCopy; }},
--- a/packages/havenstaird/request/ConcurrencyGate.cpp
+++ b/packages/havenstaird/request/ConcurrencyGate.cpp
@@ -47,7 +47,7 @@
     return;
   const GroupRow &Row = Found->second.m_Row;
   const int Part =
-      concurrencyPart(Row.m_Limits.m_Concurrency, m_Limiter.share());
+      concurrencyShare(Row.m_Limits.m_Concurrency, m_Limiter.share());
   answer(Id, m_Opts.m_Running(Row.m_Group) <= Part);
 }
 
@@ -60,7 +60,7 @@
 void ConcurrencyGate::tell(const GroupName &Group, const BoxName &Home) {
   const int Running = m_Opts.m_Running(Group);
   if (Home == m_Opts.m_Self)
-    m_Home.tell(Group, m_Opts.m_Self, Running);
+    m_Home.setRunning(Group, m_Opts.m_Self, Running);
   else
     m_Opts.m_Send(Home, LimitTellFrame{Group, Running});
 }
@@ -90,7 +90,7 @@
     return true;
   }
   if (const auto *Count = std::get_if<LimitTellFrame>(&Frame)) {
-    m_Home.tell(Count->m_Group, From, Count->m_Running);
+    m_Home.setRunning(Count->m_Group, From, Count->m_Running);
     return true;
   }
   return false;
--- a/packages/wire/connection/CrashFrames.h
+++ b/packages/wire/connection/CrashFrames.h
@@ -4,7 +4,7 @@
 #ifndef HAVENSTAIR_WIRE_CONNECTION_CRASHFRAMES_H
 #define HAVENSTAIR_WIRE_CONNECTION_CRASHFRAMES_H
 
-#include "decisions/process/CrashBook.h"
+#include "decisions/process/CrashTracker.h"
 #include "wire/common/Json.h"
 #include <vector>
 
--- a/packages/wire/connection/FleetFrames.h
+++ b/packages/wire/connection/FleetFrames.h
@@ -3,9 +3,9 @@
 #ifndef HAVENSTAIR_WIRE_CONNECTION_FLEETFRAMES_H
 #define HAVENSTAIR_WIRE_CONNECTION_FLEETFRAMES_H
 
-#include "decisions/process/DemandBook.h"
-#include "decisions/process/HolderView.h"
-#include "decisions/process/LoadBook.h"
+#include "decisions/process/LeaderView.h"
+#include "decisions/process/LoadTracker.h"
+#include "decisions/process/ModelDemand.h"
 #include "decisions/process/UpstreamInstance.h"
 #include "wire/common/Json.h"
 #include <cstdint>
@@ -37,7 +37,7 @@
   Duration m_ListAge = NoListAge;
   bool m_Reads = false;  ///< The sender reads the store itself.
   bool m_Giving = false; ///< The sender gives orders.
-  OrderHolder m_Holder;  ///< Whom the sender knows to give orders.
+  LeaderTerm m_Holder;   ///< Whom the sender knows to give orders.
   /// Through the sender and all boxes that it tells of: none of them is the
   /// receiver, or known to it from elsewhere.
   InstanceLoads m_Loads;
--- a/tests/decisions/process/AdapterPlannerTest.cpp
+++ b/tests/decisions/process/AdapterPlannerTest.cpp
@@ -21,9 +21,9 @@
 
 EngineLedger ledger(const std::set<std::string> &Adapters) {
   EngineLedger Result;
-  Result.heard({.m_OrderCount = 1,
-                .m_Models = {{.m_Name = "m", .m_Adapters = Adapters}}},
-               at(0s));
+  Result.applyReport({.m_OrderCount = 1,
+                      .m_Models = {{.m_Name = "m", .m_Adapters = Adapters}}},
+                     at(0s));
   return Result;
 }
 
--- a/tests/decisions/process/BoxCensusTest.cpp
+++ b/tests/decisions/process/BoxCensusTest.cpp
@@ -9,18 +9,18 @@
   const TimePoint Start(1000s);
   BoxCensus Census;
   REQUIRE(Census.count(Start) == 1);
-  Census.listed({"a", "b", "c"}, Start);
-  Census.listed({"a"}, Start + 20s);
+  Census.setListed({"a", "b", "c"}, Start);
+  Census.setListed({"a"}, Start + 20s);
   REQUIRE(Census.count(Start + 20s) == 3);
-  Census.listed({"a", "b", "d"}, Start + 30s);
+  Census.setListed({"a", "b", "d"}, Start + 30s);
   REQUIRE(Census.count(Start + 30s) == 4);
-  REQUIRE(Census.count(Start + 20s + BoxCensus::Remembers + 1s) == 3);
+  REQUIRE(Census.count(Start + 20s + BoxCensus::Retention + 1s) == 3);
 }
 
 TEST_CASE("Boxes that stay are counted however long nothing changes",
           "[quota]") {
   const TimePoint Start(1000s);
   BoxCensus Census;
-  Census.listed({"a", "b", "c"}, Start);
-  REQUIRE(Census.count(Start + 10 * BoxCensus::Remembers) == 3);
+  Census.setListed({"a", "b", "c"}, Start);
+  REQUIRE(Census.count(Start + 10 * BoxCensus::Retention) == 3);
 }
--- a/tests/decisions/process/ConcurrencyHomeTest.cpp
+++ b/tests/decisions/process/ConcurrencyHomeTest.cpp
@@ -26,7 +26,7 @@
         --Of;
         ++Faults;
       } else if (Of > 0) {
-        Home.tell(groupName(1), boxName(Which), --Of);
+        Home.setRunning(groupName(1), boxName(Which), --Of);
       }
       int Sum = 0;
       for (int Each : Running)
--- a/tests/decisions/process/DemandRatesTest.cpp
+++ b/tests/decisions/process/DemandRatesTest.cpp
@@ -39,7 +39,7 @@
   TimePoint Now = at(0s);
   run(Rates, Now, 20, 30s);
   REQUIRE(Rates.rate(Key, Now + 20s).m_Requests < 1);
-  REQUIRE(Rates.usual(Now + 20s).at(Key).m_Requests > 5);
+  REQUIRE(Rates.baseline(Now + 20s).at(Key).m_Requests > 5);
 }
 
 TEST_CASE("Demand that has gone is forgotten", "[demand]") {
--- a/tests/decisions/process/EchoClockTest.cpp
+++ b/tests/decisions/process/EchoClockTest.cpp
@@ -9,25 +9,25 @@
 TEST_CASE("A word is not older than what it echoes", "[echo]") {
   EchoClock Here;
   EchoClock There;
-  REQUIRE(Here.toldAt(There.echoFor(boxName(0))) == TimePoint{});
-  REQUIRE(Here.tell(TimePoint(5s)) == 1);
-  There.heard(boxName(0), 1);
-  REQUIRE(Here.tell(TimePoint(6s)) == 2);
-  REQUIRE(Here.toldAt(There.echoFor(boxName(0))) == TimePoint(5s));
-  There.heard(boxName(0), 2);
-  REQUIRE(Here.toldAt(There.echoFor(boxName(0))) == TimePoint(6s));
+  REQUIRE(Here.sentAt(There.echoFor(boxName(0))) == TimePoint{});
+  REQUIRE(Here.nextNumber(TimePoint(5s)) == 1);
+  There.recordReceived(boxName(0), 1);
+  REQUIRE(Here.nextNumber(TimePoint(6s)) == 2);
+  REQUIRE(Here.sentAt(There.echoFor(boxName(0))) == TimePoint(5s));
+  There.recordReceived(boxName(0), 2);
+  REQUIRE(Here.sentAt(There.echoFor(boxName(0))) == TimePoint(6s));
 }
 
 TEST_CASE("Numbers that were never told, or long ago, prove nothing",
           "[echo]") {
   EchoClock Clock;
-  REQUIRE(Clock.toldAt(1) == TimePoint{});
+  REQUIRE(Clock.sentAt(1) == TimePoint{});
   for (int Number = 1; Number <= 1000; ++Number)
-    Clock.tell(TimePoint(Number * 1s));
-  REQUIRE(Clock.toldAt(1000) == TimePoint(1000s));
-  REQUIRE(Clock.toldAt(1001) == TimePoint{});
-  REQUIRE(Clock.toldAt(5) == TimePoint{});
-  REQUIRE(Clock.toldAt(0) == TimePoint{});
+    Clock.nextNumber(TimePoint(Number * 1s));
+  REQUIRE(Clock.sentAt(1000) == TimePoint(1000s));
+  REQUIRE(Clock.sentAt(1001) == TimePoint{});
+  REQUIRE(Clock.sentAt(5) == TimePoint{});
+  REQUIRE(Clock.sentAt(0) == TimePoint{});
 }
 
 TEST_CASE("However words are held up, none is taken for newer than it is",
@@ -40,15 +40,15 @@
     Duration Returns = 0us;
     for (int Round = *drawn(1, 40); Round > 0; --Round) {
       Now += std::chrono::milliseconds(*drawn(1, 400));
-      const std::uint64_t Number = Here.tell(TimePoint(Now));
+      const std::uint64_t Number = Here.nextNumber(TimePoint(Now));
       // Links keep the order, whatever the delay.
       Arrives =
           std::max(Arrives, Now + std::chrono::milliseconds(*drawn(0, 8000)));
-      There.heard(boxName(0), Number);
+      There.recordReceived(boxName(0), Number);
       const Duration Said = Arrives;
       Returns =
           std::max(Returns, Said + std::chrono::milliseconds(*drawn(0, 8000)));
-      RC_ASSERT(Here.toldAt(There.echoFor(boxName(0))) <= TimePoint(Said));
+      RC_ASSERT(Here.sentAt(There.echoFor(boxName(0))) <= TimePoint(Said));
     }
   });
 }
--- a/tests/decisions/process/EngineLedgerTest.cpp
+++ b/tests/decisions/process/EngineLedgerTest.cpp
@@ -177,14 +177,14 @@
         switch (*drawn(0, 4)) {
         case 0: // It is taken, and the answer is lost.
           Real.take(Order, Expected);
-          Ledger.answered(OrderAnswer::Lost, Now);
+          Ledger.recordAnswer(OrderAnswer::Lost, Now);
           break;
         case 1: // It is carried out later, or never.
           Late.push_back({Order, Expected});
-          Ledger.answered(OrderAnswer::Lost, Now);
+          Ledger.recordAnswer(OrderAnswer::Lost, Now);
           break;
         default:
-          Ledger.answered(Real.take(Order, Expected), Now);
+          Ledger.recordAnswer(Real.take(Order, Expected), Now);
         }
         break;
       }
@@ -198,7 +198,7 @@
         Real.finish();
         break;
       default:
-        Ledger.heard(Real.report(), Now);
+        Ledger.applyReport(Real.report(), Now);
       }
       RC_ASSERT(!Real.overcommitted());
     }
@@ -219,7 +219,7 @@
     TimePoint Now = at(0s);
     for (int Step = 0; Step < 200; ++Step) {
       Now += std::chrono::milliseconds(*drawn(0, 300));
-      Ledger.passTime(Now);
+      Ledger.expireLateOrders(Now);
       std::erase_if(
           Late, [&](const auto &Each) { return Now - Each.second > Lateness; });
       switch (*drawn(0, 9)) {
@@ -237,9 +237,9 @@
           Late.push_back({{Order, Expected}, Now});
           // It starts again before or after the call is given up.
           if (*drawn(0, 3) != 0)
-            Ledger.answered(OrderAnswer::Lost, Now);
+            Ledger.recordAnswer(OrderAnswer::Lost, Now);
         } else {
-          Ledger.answered(Real.take(Order, Expected), Now);
+          Ledger.recordAnswer(Real.take(Order, Expected), Now);
         }
         break;
       }
@@ -259,12 +259,12 @@
       case 6:
         if (*drawn(0, 2) == 0) {
           Real.startAgain();
-          Ledger.startAgain(Now);
+          Ledger.onRestart(Now);
         }
         break;
       default:
-        Ledger.answered(OrderAnswer::Lost, Now);
-        Ledger.heard(Real.report(), Now);
+        Ledger.recordAnswer(OrderAnswer::Lost, Now);
+        Ledger.applyReport(Real.report(), Now);
       }
       RC_ASSERT(!Real.overcommitted());
     }
@@ -278,17 +278,17 @@
   Engine Real(ModelMb);
   Real.startAgain();
   EngineLedger Ledger;
-  Ledger.heard(Real.report(), at(0s));
+  Ledger.applyReport(Real.report(), at(0s));
   const bool Answered = GENERATE(false, true);
   Ledger.begin(load(1), at(0s));
   if (Answered)
-    Ledger.answered(OrderAnswer::Lost, at(0s));
-  Ledger.startAgain(at(1s));
+    Ledger.recordAnswer(OrderAnswer::Lost, at(0s));
+  Ledger.onRestart(at(1s));
   REQUIRE_FALSE(Ledger.known());
-  Ledger.heard(Real.report(), at(1s));
+  Ledger.applyReport(Real.report(), at(1s));
   REQUIRE_FALSE(Ledger.allows(load(2), Spec));
   REQUIRE(Ledger.allows(load(1), Spec));
-  Ledger.passTime(at(20s));
+  Ledger.expireLateOrders(at(20s));
   REQUIRE(Ledger.allows(load(2), Spec));
 }
 
@@ -299,23 +299,23 @@
   Engine Real(2 * ModelMb);
   Real.startAgain();
   EngineLedger Ledger;
-  const auto Carry = [&](const ResidencyOrder &Order, bool AnswerLost) {
-    Ledger.heard(Real.report(), at(0s));
+  const auto CarryOut = [&](const ResidencyOrder &Order, bool AnswerLost) {
+    Ledger.applyReport(Real.report(), at(0s));
     REQUIRE(Ledger.allows(Order, Spec));
     const OrderAnswer Answer = Real.take(Order, Ledger.begin(Order, at(0s)));
-    Ledger.answered(AnswerLost ? OrderAnswer::Lost : Answer, at(0s));
+    Ledger.recordAnswer(AnswerLost ? OrderAnswer::Lost : Answer, at(0s));
     Real.finish();
-    Ledger.heard(Real.report(), at(0s));
+    Ledger.applyReport(Real.report(), at(0s));
   };
-  const ResidencyOrder Away{
+  const ResidencyOrder Unload{
       .m_Load = false, .m_Model = model(1), .m_Adapter = {}};
-  Carry(load(1), true);
-  Carry(load(2), true);
-  Carry(Away, false);
+  CarryOut(load(1), true);
+  CarryOut(load(2), true);
+  CarryOut(Unload, false);
   REQUIRE(Ledger.idle());
   REQUIRE_FALSE(Ledger.allows(load(3), Spec));
   REQUIRE(Ledger.allows(load(1), Spec));
-  Ledger.passTime(at(20s));
+  Ledger.expireLateOrders(at(20s));
   REQUIRE(Ledger.allows(load(3), Spec));
 }
 
@@ -323,40 +323,42 @@
           "[orders][lives]") {
   Engine Real;
   EngineLedger Ledger;
-  const auto Untold = [](ResidencyReport Report) {
+  const auto WithoutStartTime = [](ResidencyReport Report) {
     Report.m_Born = 0;
     return Report;
   };
-  Ledger.heard(Untold(Real.report()), at(0s), at(0s));
-  Ledger.answered(Real.take(load(1), Ledger.begin(load(1), at(1s))), at(2s));
+  Ledger.applyReport(WithoutStartTime(Real.report()), at(0s), at(0s));
+  Ledger.recordAnswer(Real.take(load(1), Ledger.begin(load(1), at(1s))),
+                      at(2s));
   Real.finish();
-  Ledger.heard(Untold(Real.report()), at(3s), at(3s));
+  Ledger.applyReport(WithoutStartTime(Real.report()), at(3s), at(3s));
   Real.startAgain();
   SECTION("though not in an answer that may be of before") {
-    Ledger.heard(Untold(Real.report()), at(4s), at(3s));
-    Ledger.heard(Untold(Real.report()), at(4s), at(3s));
+    Ledger.applyReport(WithoutStartTime(Real.report()), at(4s), at(3s));
+    Ledger.applyReport(WithoutStartTime(Real.report()), at(4s), at(3s));
     REQUIRE(Ledger.count() == 1);
   }
   SECTION("when it is told twice") {
-    Ledger.heard(Untold(Real.report()), at(5s), at(4s));
+    Ledger.applyReport(WithoutStartTime(Real.report()), at(5s), at(4s));
     REQUIRE(Ledger.count() == 1);
-    REQUIRE(Ledger.heard(Untold(Real.report()), at(6s), at(5s)));
+    REQUIRE(
+        Ledger.applyReport(WithoutStartTime(Real.report()), at(6s), at(5s)));
     REQUIRE(Ledger.count() == 0);
     REQUIRE_FALSE(Ledger.holds(model(1)));
     REQUIRE(Ledger.allows(load(2), spec()));
   }
   SECTION("but not when the next tells the known count again") {
-    const ResidencyReport Late = Untold(Engine().report());
-    ResidencyReport Known = Untold(Real.report());
+    const ResidencyReport Late = WithoutStartTime(Engine().report());
+    ResidencyReport Known = WithoutStartTime(Real.report());
     Known.m_OrderCount = 1;
-    Ledger.heard(Late, at(5s), at(4s));
-    Ledger.heard(Known, at(6s), at(5s));
-    Ledger.heard(Late, at(7s), at(6s));
+    Ledger.applyReport(Late, at(5s), at(4s));
+    Ledger.applyReport(Known, at(6s), at(5s));
+    Ledger.applyReport(Late, at(7s), at(6s));
     REQUIRE(Ledger.count() == 1);
   }
   SECTION("but not under a birth that is told") {
-    REQUIRE_FALSE(Ledger.heard(Real.report(), at(5s), at(4s)));
-    REQUIRE_FALSE(Ledger.heard(Real.report(), at(6s), at(5s)));
+    REQUIRE_FALSE(Ledger.applyReport(Real.report(), at(5s), at(4s)));
+    REQUIRE_FALSE(Ledger.applyReport(Real.report(), at(6s), at(5s)));
     REQUIRE(Ledger.count() == 1);
   }
 }
@@ -364,11 +366,11 @@
 TEST_CASE("While late orders that nobody knows may come, nothing is loaded",
           "[orders][lives]") {
   EngineLedger Ledger;
-  Ledger.holdUntil(at(9s));
-  Ledger.startAgain(at(0s));
-  Ledger.heard(Engine().report(), at(1s));
+  Ledger.blockLoadsUntil(at(9s));
+  Ledger.onRestart(at(0s));
+  Ledger.applyReport(Engine().report(), at(1s));
   REQUIRE_FALSE(Ledger.allows(load(1), spec()));
-  Ledger.passTime(at(9s));
+  Ledger.expireLateOrders(at(9s));
   REQUIRE(Ledger.allows(load(1), spec()));
 }
 
@@ -380,9 +382,9 @@
 TEST_CASE("An order without an answer is sent again, and nothing else",
           "[orders]") {
   EngineLedger Ledger;
-  Ledger.heard(Engine().report(), at(0s));
+  Ledger.applyReport(Engine().report(), at(0s));
   Ledger.begin(load(1), at(0s));
-  Ledger.answered(OrderAnswer::Lost, at(1s));
+  Ledger.recordAnswer(OrderAnswer::Lost, at(1s));
   REQUIRE_FALSE(Ledger.allows(load(2), spec()));
   REQUIRE_FALSE(Ledger.resend(at(1s)));
   REQUIRE(Ledger.resend(at(2s)) == load(1));
@@ -390,14 +392,14 @@
   SECTION("until the count has moved") {
     ResidencyReport Moved = Engine().report();
     Moved.m_OrderCount = 1;
-    Ledger.heard(Moved, at(2s));
+    Ledger.applyReport(Moved, at(2s));
     REQUIRE_FALSE(Ledger.resend(at(3s)));
     REQUIRE(Ledger.allows(load(2), spec()));
   }
   SECTION("or its life is over") {
-    Ledger.heard(Engine().report(), at(5s));
+    Ledger.applyReport(Engine().report(), at(5s));
     REQUIRE(Ledger.uncertain());
-    Ledger.heard(Engine().report(), at(20s));
+    Ledger.applyReport(Engine().report(), at(20s));
     REQUIRE_FALSE(Ledger.uncertain());
   }
 }
@@ -405,29 +407,29 @@
 TEST_CASE("A report that is older than an accepted order is dropped",
           "[orders]") {
   EngineLedger Ledger;
-  Ledger.heard(Engine().report(), at(0s));
+  Ledger.applyReport(Engine().report(), at(0s));
   Ledger.begin(load(1), at(0s));
-  Ledger.answered(OrderAnswer::Accepted, at(0s));
-  Ledger.heard(Engine().report(), at(1s));
+  Ledger.recordAnswer(OrderAnswer::Accepted, at(0s));
+  Ledger.applyReport(Engine().report(), at(1s));
   REQUIRE(Ledger.count() == 1);
-  REQUIRE(Ledger.modelOrder() == load(1));
+  REQUIRE(Ledger.acceptedModelOrder() == load(1));
 }
 
 TEST_CASE("An adapter that no request uses goes at once", "[orders]") {
   Engine Real;
   EngineLedger Ledger;
-  Ledger.heard(Real.report(), at(0s));
-  const ResidencyOrder Bring{
+  Ledger.applyReport(Real.report(), at(0s));
+  const ResidencyOrder Load{
       .m_Load = true, .m_Model = model(0), .m_Adapter = "a1"};
-  const std::uint64_t Expected = Ledger.begin(Bring, at(0s));
-  Ledger.answered(Real.take(Bring, Expected), at(0s));
-  REQUIRE(Ledger.coming(model(0), "a1"));
+  const std::uint64_t Expected = Ledger.begin(Load, at(0s));
+  Ledger.recordAnswer(Real.take(Load, Expected), at(0s));
+  REQUIRE(Ledger.isLoading(model(0), "a1"));
   Real.finish();
-  Ledger.heard(Real.report(), at(1s));
+  Ledger.applyReport(Real.report(), at(1s));
   REQUIRE(Ledger.holds(model(0), "a1"));
-  const ResidencyOrder Away{
+  const ResidencyOrder Unload{
       .m_Load = false, .m_Model = model(0), .m_Adapter = "a1"};
-  Ledger.answered(Real.take(Away, Ledger.begin(Away, at(1s))), at(1s));
+  Ledger.recordAnswer(Real.take(Unload, Ledger.begin(Unload, at(1s))), at(1s));
   REQUIRE_FALSE(Ledger.holds(model(0), "a1"));
   REQUIRE_FALSE(Ledger.needsReport());
   REQUIRE(Ledger.count() == Real.report().m_OrderCount);
@@ -435,13 +437,13 @@
 
 TEST_CASE("News in the list only asks for a report", "[orders]") {
   EngineLedger Ledger;
-  Ledger.heard(Engine().report(), at(0s));
+  Ledger.applyReport(Engine().report(), at(0s));
   UpstreamInstance Entry;
   Entry.m_Models = {{.m_Name = model(3), .m_Adapters = {}}};
-  Ledger.listed(Entry);
+  Ledger.applyListEntry(Entry);
   REQUIRE(Ledger.needsReport());
   REQUIRE(Ledger.holds(model(0)));
-  Ledger.heard(Engine().report(), at(1s));
-  Ledger.listed(Entry);
+  Ledger.applyReport(Engine().report(), at(1s));
+  Ledger.applyListEntry(Entry);
   REQUIRE_FALSE(Ledger.needsReport());
 }
--- a/tests/decisions/process/FleetTopologyTest.cpp
+++ b/tests/decisions/process/FleetTopologyTest.cpp
@@ -24,7 +24,7 @@
   std::vector<FleetMember> Others = Fleet;
   Others.erase(Others.begin() + static_cast<std::ptrdiff_t>(Number));
   FleetTopology Result(Fleet[Number]);
-  Result.listed(std::move(Others));
+  Result.setMembers(std::move(Others));
   return Result;
 }
 
@@ -54,7 +54,7 @@
 
   SECTION("the order giver stays one though it is weak") {
     FleetTopology Seen = seenBy(Fleet, 59);
-    Seen.holderIs(Fleet[59].m_Box);
+    Seen.setLeader(Fleet[59].m_Box);
     REQUIRE(Seen.relay());
     REQUIRE(Seen.links().size() == 9);
   }
--- a/tests/decisions/process/GroupLimiterTest.cpp
+++ b/tests/decisions/process/GroupLimiterTest.cpp
@@ -11,7 +11,7 @@
     const int Boxes = *drawn(1, 50);
     int Sum = 0;
     for (int Index = 0; Index < Boxes; ++Index)
-      Sum += concurrencyPart(Whole, {.m_Index = Index, .m_Boxes = Boxes});
+      Sum += concurrencyShare(Whole, {.m_Index = Index, .m_Boxes = Boxes});
     RC_ASSERT(Sum == Whole);
   });
 }
--- a/tests/decisions/process/LateOrdersTest.cpp
+++ b/tests/decisions/process/LateOrdersTest.cpp
@@ -16,9 +16,9 @@
 TEST_CASE("A late load counts until the engine's count has passed it",
           "[orders][lives]") {
   LateOrders Late;
-  Late.lost(load("a"), 0, at(0s));
-  Late.lost(load("b"), 2, at(1s));
-  Late.lost({.m_Load = false, .m_Model = "c", .m_Adapter = {}}, 2, at(1s));
+  Late.add(load("a"), 0, at(0s));
+  Late.add(load("b"), 2, at(1s));
+  Late.add({.m_Load = false, .m_Model = "c", .m_Adapter = {}}, 2, at(1s));
   REQUIRE(Late.loads(0) == std::set{load("a"), load("b")});
   REQUIRE(Late.loads(1) == std::set{load("b")});
   REQUIRE(Late.loads(3).empty());
@@ -27,8 +27,8 @@
 TEST_CASE("An order sent twice counts once, until the later call is too late",
           "[orders][lives]") {
   LateOrders Late;
-  Late.lost(load("a"), 0, at(0s));
-  Late.lost(load("a"), 0, at(4s));
+  Late.add(load("a"), 0, at(0s));
+  Late.add(load("a"), 0, at(4s));
   REQUIRE(Late.loads(0).size() == 1);
   Late.expire(10s, at(11s));
   REQUIRE(Late.loads(0).size() == 1);
--- a/tests/decisions/process/LeaseKeeperTest.cpp
+++ b/tests/decisions/process/LeaseKeeperTest.cpp
@@ -19,7 +19,7 @@
 TEST_CASE("A lease counts from when its call was sent", "[lease]") {
   LeaseKeeper Keeper = makeKeeper();
   REQUIRE(Keeper.tick(at(0us)).has_value());
-  Keeper.granted("s", at(0us));
+  Keeper.onGranted("s", at(0us));
   REQUIRE(Keeper.held(at(94ms)));
   REQUIRE_FALSE(Keeper.held(at(95ms)));
 }
@@ -28,7 +28,7 @@
   LeaseKeeper Keeper = makeKeeper();
   REQUIRE(Keeper.tick(at(0us)).has_value());
   REQUIRE_FALSE(Keeper.tick(at(10ms)).has_value());
-  Keeper.failed(at(50ms));
+  Keeper.onFailed(at(50ms));
   REQUIRE_FALSE(Keeper.tick(at(49ms)).has_value());
   REQUIRE(Keeper.tick(at(50ms)).has_value());
 }
@@ -47,7 +47,7 @@
     for (const auto &[Command, Size] : Steps) {
       const TimePoint SentAt = Now;
       const auto Action = Keeper.tick(Now);
-      // The call travels, and may be lost on its way there or back.
+      // The call travels, and may be onLost on its way there or back.
       Now += std::chrono::milliseconds(Size / 2);
       if (Action) {
         const bool Renews = std::holds_alternative<RenewLease>(*Action);
@@ -57,11 +57,11 @@
         Now += std::chrono::milliseconds(Size / 2);
         if (Command == 0 || Command == 1) {
           ++Faults;
-          Keeper.failed(Now);
+          Keeper.onFailed(Now);
         } else if (!Exists) {
-          Keeper.lost(Now);
+          Keeper.onLost(Now);
         } else {
-          Keeper.granted("s", SentAt);
+          Keeper.onGranted("s", SentAt);
         }
       }
       Violations += Keeper.held(Now) && Now >= PlatformEnds ? 1 : 0;
--- a/tests/decisions/process/LoadCeilingTest.cpp
+++ b/tests/decisions/process/LoadRateLimiterTest.cpp
@@ -1,4 +1,4 @@
-#include "decisions/process/LoadCeiling.h"
+#include "decisions/process/LoadRateLimiter.h"
 #include "support/Draw.h"
 #include "support/Names.h"
 #include <map>
@@ -15,11 +15,12 @@
   TimePoint m_Settles{};
 };
 
-std::size_t mostInWindow(const std::vector<TimePoint> &Begun, Duration Window) {
+std::size_t mostInWindow(const std::vector<TimePoint> &Starts,
+                         Duration Window) {
   std::size_t Most = 0;
-  for (const TimePoint From : Begun)
+  for (const TimePoint From : Starts)
     Most = std::max<std::size_t>(
-        Most, std::count_if(Begun.begin(), Begun.end(), [&](TimePoint Each) {
+        Most, std::count_if(Starts.begin(), Starts.end(), [&](TimePoint Each) {
           return Each >= From && Each <= From + Window;
         }));
   return Most;
@@ -31,13 +32,13 @@
           "begins",
           "[ceiling][property]") {
   rc::prop("bounded", [] {
-    LoadCeiling Ceiling;
+    LoadRateLimiter Limiter;
     const double PerSecond = *drawn(2, 40) / 10.0;
     const auto Slack = static_cast<std::size_t>(*drawn(0, 4));
-    Ceiling.configure(
+    Limiter.configure(
         {.m_LoadsPerS = PerSecond, .m_Window = 5s, .m_Slack = Slack});
     std::map<InstanceId, OpenLoad> Open;
-    std::vector<TimePoint> Begun;
+    std::vector<TimePoint> Starts;
     TimePoint Now = at(0s);
     for (int Step = 0; Step < 200; ++Step) {
       Now += std::chrono::milliseconds(*drawn(0, 300));
@@ -46,77 +47,77 @@
           ++At;
           continue;
         }
-        Ceiling.settled(At->first, Now);
+        Limiter.onSettled(At->first, Now);
         At = Open.erase(At);
       }
-      if (Ceiling.left(Now) == 0)
+      if (Limiter.available(Now) == 0)
         continue;
       const InstanceId Engine = "i-" + std::to_string(Step);
       const auto Begins = Now + std::chrono::milliseconds(*drawn(0, 4000));
       const auto Settles = Begins + std::chrono::milliseconds(*drawn(0, 2000));
       Open[Engine] = {.m_Begins = Begins, .m_Settles = Settles};
-      Ceiling.ordered(Engine);
-      Begun.push_back(Begins);
+      Limiter.onOrdered(Engine);
+      Starts.push_back(Begins);
     }
-    RC_ASSERT(static_cast<double>(mostInWindow(Begun, 5s)) <=
+    RC_ASSERT(static_cast<double>(mostInWindow(Starts, 5s)) <=
               std::max(1.0, PerSecond * 5 + static_cast<double>(Slack)));
   });
 }
 
 TEST_CASE("An order without an answer counts until it is settled",
           "[ceiling]") {
-  LoadCeiling Ceiling;
-  Ceiling.configure({.m_LoadsPerS = 0.4, .m_Window = 5s, .m_Slack = 0});
-  REQUIRE(Ceiling.left(at(0s)) == 2);
-  Ceiling.ordered("i-1");
-  REQUIRE(Ceiling.left(at(60s)) == 1);
-  Ceiling.settled("i-1", at(60s));
-  REQUIRE(Ceiling.left(at(61s)) == 1);
-  REQUIRE(Ceiling.left(at(66s)) == 2);
+  LoadRateLimiter Limiter;
+  Limiter.configure({.m_LoadsPerS = 0.4, .m_Window = 5s, .m_Slack = 0});
+  REQUIRE(Limiter.available(at(0s)) == 2);
+  Limiter.onOrdered("i-1");
+  REQUIRE(Limiter.available(at(60s)) == 1);
+  Limiter.onSettled("i-1", at(60s));
+  REQUIRE(Limiter.available(at(61s)) == 1);
+  REQUIRE(Limiter.available(at(66s)) == 2);
 }
 
 TEST_CASE("What is settled twice, or was never ordered, counts once at most",
           "[ceiling]") {
-  LoadCeiling Ceiling;
-  Ceiling.configure({.m_LoadsPerS = 0.4, .m_Window = 5s, .m_Slack = 0});
-  Ceiling.settled("i-2", at(0s));
-  REQUIRE(Ceiling.left(at(0s)) == 2);
-  Ceiling.ordered("i-1");
-  Ceiling.settled("i-1", at(1s));
-  Ceiling.settled("i-1", at(2s));
-  REQUIRE(Ceiling.left(at(3s)) == 1);
-  REQUIRE(Ceiling.left(at(6s) + 1ms) == 2);
+  LoadRateLimiter Limiter;
+  Limiter.configure({.m_LoadsPerS = 0.4, .m_Window = 5s, .m_Slack = 0});
+  Limiter.onSettled("i-2", at(0s));
+  REQUIRE(Limiter.available(at(0s)) == 2);
+  Limiter.onOrdered("i-1");
+  Limiter.onSettled("i-1", at(1s));
+  Limiter.onSettled("i-1", at(2s));
+  REQUIRE(Limiter.available(at(3s)) == 1);
+  REQUIRE(Limiter.available(at(6s) + 1ms) == 2);
 }
 
 TEST_CASE("A new order giver begins with a used-up window", "[ceiling]") {
-  LoadCeiling Ceiling;
+  LoadRateLimiter Limiter;
   SECTION("the bound is known before") {
-    Ceiling.configure({.m_LoadsPerS = 2, .m_Window = 5s, .m_Slack = 0});
-    Ceiling.takeOver(at(10s));
+    Limiter.configure({.m_LoadsPerS = 2, .m_Window = 5s, .m_Slack = 0});
+    Limiter.assumeFullWindow(at(10s));
   }
   SECTION("the bound becomes known only then") {
-    Ceiling.takeOver(at(10s));
-    Ceiling.configure({.m_LoadsPerS = 2, .m_Window = 5s, .m_Slack = 0});
+    Limiter.assumeFullWindow(at(10s));
+    Limiter.configure({.m_LoadsPerS = 2, .m_Window = 5s, .m_Slack = 0});
   }
-  REQUIRE(Ceiling.left(at(14s)) == 0);
-  REQUIRE(Ceiling.left(at(15s)) == 0);
-  REQUIRE(Ceiling.left(at(15s) + 1ms) == 10);
+  REQUIRE(Limiter.available(at(14s)) == 0);
+  REQUIRE(Limiter.available(at(15s)) == 0);
+  REQUIRE(Limiter.available(at(15s) + 1ms) == 10);
 }
 
 TEST_CASE("The slack of the bound is used but for one load", "[ceiling]") {
-  LoadCeiling Ceiling;
-  Ceiling.configure({.m_LoadsPerS = 1.6, .m_Window = 5s, .m_Overage = 1.1});
-  REQUIRE(Ceiling.left(at(0s)) == 10);
+  LoadRateLimiter Limiter;
+  Limiter.configure({.m_LoadsPerS = 1.6, .m_Window = 5s, .m_Overage = 1.1});
+  REQUIRE(Limiter.available(at(0s)) == 10);
 }
 
 TEST_CASE("Loads of the former order giver that are known count by number",
           "[ceiling]") {
-  LoadCeiling Ceiling;
-  Ceiling.configure({.m_LoadsPerS = 2, .m_Window = 5s, .m_Slack = 0});
-  Ceiling.takeOver(at(10s));
-  REQUIRE(Ceiling.left(at(11s)) == 0);
-  Ceiling.formerLoads(3, at(11s));
-  REQUIRE_FALSE(Ceiling.takenOver());
-  REQUIRE(Ceiling.left(at(11s)) == 7);
-  REQUIRE(Ceiling.left(at(16s) + 1ms) == 10);
+  LoadRateLimiter Limiter;
+  Limiter.configure({.m_LoadsPerS = 2, .m_Window = 5s, .m_Slack = 0});
+  Limiter.assumeFullWindow(at(10s));
+  REQUIRE(Limiter.available(at(11s)) == 0);
+  Limiter.setFormerLoads(3, at(11s));
+  REQUIRE_FALSE(Limiter.assumesFullWindow());
+  REQUIRE(Limiter.available(at(11s)) == 7);
+  REQUIRE(Limiter.available(at(16s) + 1ms) == 10);
 }
--- a/tests/decisions/process/LoadBookTest.cpp
+++ b/tests/decisions/process/LoadTrackerTest.cpp
@@ -1,4 +1,4 @@
-#include "decisions/process/LoadBook.h"
+#include "decisions/process/LoadTracker.h"
 #include "support/Draw.h"
 #include "support/Names.h"
 
@@ -7,44 +7,47 @@
 TEST_CASE("Loads come back to nothing when all requests have ended",
           "[load][property]") {
   rc::prop("balanced", [] {
-    LoadBook Book;
+    LoadTracker Tracker;
     std::vector<double> Works;
     for (int Index = 0; Index < *drawn(1, 20); ++Index)
       Works.push_back(*drawn(0, 500) / 3.0);
     for (double Work : Works)
-      Book.sent("a", Work, 10);
+      Tracker.onSent("a", Work, 10);
     for (double Work : Works) {
-      Book.started("a", Work);
-      Book.ended("a", 10);
+      Tracker.onFirstToken("a", Work);
+      Tracker.onEnded("a", 10);
     }
-    RC_ASSERT(Book.own().empty());
-    RC_ASSERT(Book.load("a", at(1s)) == InstanceLoad{});
+    RC_ASSERT(Tracker.own().empty());
+    RC_ASSERT(Tracker.load("a", at(1s)) == InstanceLoad{});
   });
 }
 
 TEST_CASE("The word of a silent box fades away", "[load]") {
-  LoadBook Book;
-  Book.told(boxName(1), {{"a", {.m_Running = 3, .m_PendingMs = 90}}}, at(1s));
-  REQUIRE(Book.load("a", at(2s)).m_Running == 3);
-  REQUIRE(Book.load("a", at(1s) + LoadBook::WordCounts + 1ms).m_Running == 0);
-  Book.forget(boxName(1));
-  REQUIRE(Book.load("a", at(1s)).m_Running == 0);
+  LoadTracker Tracker;
+  Tracker.receiveLoads(boxName(1), {{"a", {.m_Running = 3, .m_PendingMs = 90}}},
+                       at(1s));
+  REQUIRE(Tracker.load("a", at(2s)).m_Running == 3);
+  REQUIRE(
+      Tracker.load("a", at(1s) + LoadTracker::ReportLifetime + 1ms).m_Running ==
+      0);
+  Tracker.forget(boxName(1));
+  REQUIRE(Tracker.load("a", at(1s)).m_Running == 0);
 }
 
 TEST_CASE("Changes lead another box to the same picture", "[load][property]") {
   rc::prop("deltas", [] {
-    LoadBook Sender;
-    LoadBook Receiver;
-    Receiver.told(boxName(1), Sender.own(), at(0s));
-    Sender.toldAll();
+    LoadTracker Sender;
+    LoadTracker Receiver;
+    Receiver.receiveLoads(boxName(1), Sender.own(), at(0s));
+    Sender.markAllPublished();
     const std::vector<InstanceId> Names{"a", "b", "c"};
     for (int Step = 0; Step < *drawn(1, 30); ++Step) {
       const InstanceId &Id = Names[*drawn<std::size_t>(0, 3)];
       if (*rc::gen::arbitrary<bool>())
-        Sender.sent(Id, *drawn(0, 90), 1);
+        Sender.onSent(Id, *drawn(0, 90), 1);
       else
-        Sender.ended(Id, 1);
-      Receiver.toldChanges(boxName(1), Sender.takeChanges(), at(1s));
+        Sender.onEnded(Id, 1);
+      Receiver.receiveChanges(boxName(1), Sender.takeChanges(), at(1s));
       // What was not worth telling is the only difference.
       for (const InstanceId &Each : Names) {
         const double Known = Receiver.load(Each, at(1s)).m_PendingMs;
@@ -58,29 +61,29 @@
 TEST_CASE("Totals of a relay count this box's own loads once",
           "[load][property]") {
   rc::prop("totals", [] {
-    LoadBook Leaf;
-    LoadBook Relay;
-    InstanceLoads Told;
+    LoadTracker Leaf;
+    LoadTracker Relay;
+    InstanceLoads Published;
     const std::vector<InstanceId> Names{"a", "b", "c"};
     const BoxName Other = boxName(2);
     InstanceLoads Others;
     for (int Step = 0; Step < *drawn(1, 30); ++Step) {
       const InstanceId &Id = Names[*drawn<std::size_t>(0, 3)];
       if (*rc::gen::arbitrary<bool>())
-        Leaf.sent(Id, *drawn(0, 90), 1);
+        Leaf.onSent(Id, *drawn(0, 90), 1);
       else
-        Leaf.ended(Id, 1);
+        Leaf.onEnded(Id, 1);
       Others[Id] = {.m_Running = *drawn(1, 9)};
-      Relay.told(Other, Others, at(1s));
-      Relay.told(boxName(1), Leaf.own(), at(1s));
-      Leaf.toldAll();
+      Relay.receiveLoads(Other, Others, at(1s));
+      Relay.receiveLoads(boxName(1), Leaf.own(), at(1s));
+      Leaf.markAllPublished();
       const InstanceLoads Totals =
           Relay.sum([](const BoxName &) { return true; }, at(1s));
       InstanceLoads Changes = Totals;
-      for (const auto &[Each, Load] : Told)
+      for (const auto &[Each, Load] : Published)
         Changes.try_emplace(Each);
-      Leaf.toldTotals(boxName(3), Changes, Step == 0, at(1s));
-      Told = Totals;
+      Leaf.receiveAggregate(boxName(3), Changes, Step == 0, at(1s));
+      Published = Totals;
       for (const InstanceId &Each : Names) {
         const int Own =
             Leaf.own().contains(Each) ? Leaf.own().at(Each).m_Running : 0;
@@ -94,10 +97,10 @@
 
 TEST_CASE("Totals that are older than what this box has told are no debt",
           "[load]") {
-  LoadBook Leaf;
-  Leaf.toldTotals(boxName(1), {{"a", {.m_Running = 1}}}, true, at(1s));
-  Leaf.sent("a", 10, 1);
-  Leaf.sent("a", 10, 1);
-  Leaf.toldAll();
+  LoadTracker Leaf;
+  Leaf.receiveAggregate(boxName(1), {{"a", {.m_Running = 1}}}, true, at(1s));
+  Leaf.onSent("a", 10, 1);
+  Leaf.onSent("a", 10, 1);
+  Leaf.markAllPublished();
   REQUIRE(Leaf.load("a", at(1s)).m_Running == 2);
 }
--- a/tests/decisions/process/WarmUpHerdTest.cpp
+++ b/tests/decisions/process/WarmUpHerdTest.cpp
@@ -69,14 +69,14 @@
     std::erase_if(m_Running, [&](const Running &Each) {
       if (Each.m_Ends > m_Now)
         return false;
-      m_Loads[Each.m_Box].started(m_Engines[Each.m_Engine].m_Id, WorkMs);
-      m_Loads[Each.m_Box].ended(m_Engines[Each.m_Engine].m_Id, 1);
+      m_Loads[Each.m_Box].onFirstToken(m_Engines[Each.m_Engine].m_Id, WorkMs);
+      m_Loads[Each.m_Box].onEnded(m_Engines[Each.m_Engine].m_Id, 1);
       return true;
     });
   }
   void tell() {
     std::vector<InstanceLoads> Words;
-    for (const LoadBook &Each : m_Loads)
+    for (const LoadTracker &Each : m_Loads)
       Words.push_back(Each.own());
     m_Words.push_back(std::move(Words));
     if (m_Words.size() < 2)
@@ -84,8 +84,8 @@
     for (std::size_t From = 0; From < Boxes; ++From)
       for (std::size_t To = 0; To < Boxes; ++To)
         if (From != To)
-          m_Loads[To].told(BoxName("b" + std::to_string(From)),
-                           m_Words.front()[From], m_Now);
+          m_Loads[To].receiveLoads(BoxName("b" + std::to_string(From)),
+                                   m_Words.front()[From], m_Now);
     m_Words.pop_front();
   }
   void send(std::size_t Box) {
@@ -105,7 +105,7 @@
                                       {}, m_Unit(m_Random), m_Now);
     const auto Engine =
         static_cast<std::size_t>(Chosen->m_Instance - m_Engines.data());
-    m_Loads[Box].sent(Chosen->m_Instance->m_Id, WorkMs, 1);
+    m_Loads[Box].onSent(Chosen->m_Instance->m_Id, WorkMs, 1);
     m_Running.push_back({m_Now + 600ms, Box, Engine});
     if (Engine == 0)
       m_Arrivals.push_back(m_Now);
@@ -114,11 +114,11 @@
   static constexpr double WorkMs = 100;
 
   double m_PerS;
-  std::vector<LoadBook> m_Loads;
+  std::vector<LoadTracker> m_Loads;
   std::vector<UpstreamInstance> m_Engines;
   PrefixIndex m_Prefixes{1e6};
   LatencyModel m_Latency;
-  FailureBook m_Failures;
+  FailureTracker m_Failures;
   DataCentreMap m_DataCentres;
   std::deque<std::vector<InstanceLoads>> m_Words;
   std::vector<Running> m_Running;
--- a/tests/decisions/request/ReplicaChoiceTest.cpp
+++ b/tests/decisions/request/ReplicaChoiceTest.cpp
@@ -23,10 +23,10 @@
 }
 
 struct Books {
-  LoadBook m_Loads;
+  LoadTracker m_Loads;
   PrefixIndex m_Prefixes{1e6};
   LatencyModel m_Latency;
-  FailureBook m_Failures;
+  FailureTracker m_Failures;
   DataCentreMap m_DataCentres;
   WarmUpView m_WarmUp;
   ServerWords m_Words;
@@ -55,15 +55,15 @@
 TEST_CASE("The upstream with less work ahead is chosen", "[choice]") {
   Books Known;
   const auto A = engine("a"), B = engine("b");
-  Known.m_Loads.sent("a", 500, 100);
+  Known.m_Loads.onSent("a", 500, 100);
   REQUIRE(Known.choose({&A, &B}, prompt(0, 100))->m_Instance == &B);
 }
 
 TEST_CASE("What other boxes tell counts like what this box sent", "[choice]") {
   Books Known;
   const auto A = engine("a"), B = engine("b");
-  Known.m_Loads.told(boxName(1), {{"a", {.m_Running = 1, .m_PendingMs = 500}}},
-                     at(900ms));
+  Known.m_Loads.receiveLoads(
+      boxName(1), {{"a", {.m_Running = 1, .m_PendingMs = 500}}}, at(900ms));
   REQUIRE(Known.choose({&A, &B}, prompt(0, 100))->m_Instance == &B);
 }
 
@@ -100,7 +100,7 @@
   Books Known;
   const auto A = engine("a"), B = engine("b", "z");
   REQUIRE(Known.choose({&A, &B}, prompt(0, 100))->m_Instance == &A);
-  Known.m_Failures.unreachable("a", at(1s));
+  Known.m_Failures.recordUnreachable("a", at(1s));
   REQUIRE(Known.choose({&A, &B}, prompt(0, 100))->m_Instance == &B);
   REQUIRE(Known.m_Failures.rate("a", at(60s)) < 0.01);
 }
@@ -109,7 +109,7 @@
   Books Known;
   const auto A = engine("a"), B = engine("b", "z");
   for (int Count = 0; Count < 10; ++Count)
-    Known.m_Loads.sent("a", 0, 100);
+    Known.m_Loads.onSent("a", 0, 100);
   REQUIRE(Known.choose({&A, &B}, prompt(0, 30000))->m_Instance == &B);
 }
 
@@ -129,9 +129,9 @@
   REQUIRE(Cost(Far) - Cost(Own) == Approx(Weights.m_OtherRegionMs));
   REQUIRE(Cost(Unknown) == Approx(Cost(Near)));
   SECTION("the region's own server is taken while it costs less") {
-    Known.m_Loads.sent("near", 10, 10);
+    Known.m_Loads.onSent("near", 10, 10);
     REQUIRE(Known.choose({&Near, &Far}, Plain)->m_Instance == &Near);
-    Known.m_Loads.sent("near", 10000, 10);
+    Known.m_Loads.onSent("near", 10000, 10);
     REQUIRE(Known.choose({&Near, &Far}, Plain)->m_Instance == &Far);
   }
 }
@@ -154,9 +154,9 @@
   const auto Chosen = [&] {
     return Known.choose({&Cold, &Warm}, prompt(0, 10))->m_Instance->m_Id;
   };
-  Known.m_Loads.sent("warm", 60, 10);
+  Known.m_Loads.onSent("warm", 60, 10);
   REQUIRE(Chosen() == "warm");
-  Known.m_Loads.sent("warm", 120, 10);
+  Known.m_Loads.onSent("warm", 120, 10);
   REQUIRE(Chosen() == "cold");
   Known.m_Bounds.noteBusy("cold", at(1s) + 900ms, at(1s));
   REQUIRE(Chosen() == "warm");
@@ -173,7 +173,7 @@
     return *Known.choose({&Limited, &Whole}, prompt(0, 10));
   };
   REQUIRE(Chosen().m_Instance == &Whole);
-  Known.m_Loads.sent("whole", 20, 10);
+  Known.m_Loads.onSent("whole", 20, 10);
   REQUIRE(Chosen().m_Instance == &Limited);
   REQUIRE(Chosen().m_Limited);
   REQUIRE(Chosen().m_SpareMs.value() > 0);
--- a/tests/gateway/ConfigurationTest.cpp
+++ b/tests/gateway/ConfigurationTest.cpp
@@ -151,7 +151,8 @@
   constexpr Duration CallsAndWords = 4 * 50ms;
   constexpr Duration FoundDead =
       PrefixMirror::CloseWait + platform::StoreClient::WatchTimeout;
-  REQUIRE(FoundDead + ConfigPursuit::WatchTells + CallsAndWords < Given);
+  REQUIRE(FoundDead + ConfigFetchPolicy::WatchSilenceTimeout + CallsAndWords <
+          Given);
   // Connections that fell silent: boxes count as reached again after 3 s.
   REQUIRE(PeerLink::MostQuietLooks * PeerLink::LookEvery <= 3s);
 }
--- a/tests/gateway/CrashTest.cpp
+++ b/tests/gateway/CrashTest.cpp
@@ -124,8 +124,8 @@
       const std::size_t Ended = ended();
       return std::all_of(m_Boxes.begin(), m_Boxes.end(), [&](const auto &Box) {
         return barredAt(*Box, Body, Target) ||
-               Box->state().m_Crashes.crashes(digest(Body, Target),
-                                              EventLoop::now()) == Ended;
+               Box->state().m_Crashes.crashCount(digest(Body, Target),
+                                                 EventLoop::now()) == Ended;
       });
     }));
   }
@@ -165,8 +165,8 @@
 
   static bool barredAt(const Gateway &Box, const std::string &Body,
                        const std::string &Target = "/safe/x") {
-    return Box.state().m_Crashes.bar(digest(Body, Target), EventLoop::now()) !=
-           nullptr;
+    return Box.state().m_Crashes.findQuarantine(digest(Body, Target),
+                                                EventLoop::now()) != nullptr;
   }
 
   static RequestDigest digest(const std::string &Body,
@@ -294,10 +294,11 @@
     REQUIRE(Test.until([&] { return Test.m_Statuses.size() == Lost + 2; }));
   }
   Test.wait(500ms);
-  REQUIRE(std::all_of(
-      Test.m_Boxes.begin(), Test.m_Boxes.end(), [&](const auto &Box) {
-        return Box->state().m_Crashes.bar(Popular, EventLoop::now()) == nullptr;
-      }));
+  REQUIRE(std::all_of(Test.m_Boxes.begin(), Test.m_Boxes.end(),
+                      [&](const auto &Box) {
+                        return Box->state().m_Crashes.findQuarantine(
+                                   Popular, EventLoop::now()) == nullptr;
+                      }));
 }
 
 TEST_CASE("A box that comes later knows what is barred", "[gateway][crash]") {
@@ -368,7 +369,7 @@
     REQUIRE(Test.ended() == Number + 1);
   }
   const auto Crashes = [&](const std::string &Body) {
-    return Test.m_Boxes.front()->state().m_Crashes.crashes(
+    return Test.m_Boxes.front()->state().m_Crashes.crashCount(
         CrashTest::digest(Body, "/unsafe/x"), EventLoop::now());
   };
   REQUIRE(Test.until([&] {
@@ -422,7 +423,7 @@
             120);
     Test.m_Statuses.clear();
   }
-  REQUIRE(Test.m_Boxes.front()->state().m_Crashes.bars().empty());
+  REQUIRE(Test.m_Boxes.front()->state().m_Crashes.quarantines().empty());
 }
 
 TEST_CASE("A server that is back under its name before its end was noticed "
@@ -454,7 +455,7 @@
     REQUIRE_FALSE(Ended.empty());
     Test.listBorn(Ended, ++Born);
     const auto Knows = [&](const auto &Box) {
-      return Box->state().m_Crashes.crashes(
+      return Box->state().m_Crashes.crashCount(
                  CrashTest::digest(CrashTest::Boom, "/unsafe/x"),
                  EventLoop::now()) == static_cast<std::size_t>(Born - 1000);
     };
@@ -502,7 +503,7 @@
     REQUIRE(Test.until([&] { return !Test.m_Statuses.empty(); }));
     Test.m_Statuses.clear();
   }
-  REQUIRE(Test.m_Boxes.front()->state().m_Crashes.crashes(
+  REQUIRE(Test.m_Boxes.front()->state().m_Crashes.crashCount(
               CrashTest::digest(CrashTest::Held, "/unsafe/x"),
               EventLoop::now()) == 0);
 }
@@ -589,7 +590,7 @@
   REQUIRE(Test.until([&] {
     return std::all_of(Test.m_Boxes.begin(), Test.m_Boxes.end(),
                        [](const auto &Box) {
-                         return Box->state().m_Crashes.doubtful(
+                         return Box->state().m_Crashes.isAmbiguous(
                              CrashTest::digest(CrashTest::Boom, "/unsafe/x"),
                              EventLoop::now());
                        });
--- a/tests/gateway/ManagedEngineTest.cpp
+++ b/tests/gateway/ManagedEngineTest.cpp
@@ -10,10 +10,10 @@
 /// An engine that has taken the order to load "m" from the store.
 ManagedEngine loading(double Slowness) {
   ManagedEngine Engine;
-  Engine.m_Ledger.heard({}, at(0s));
+  Engine.m_Ledger.applyReport({}, at(0s));
   Engine.m_Ledger.begin({.m_Load = true, .m_Model = "m", .m_Adapter = {}},
                         at(0s));
-  Engine.m_Ledger.answered(OrderAnswer::Accepted, at(0s));
+  Engine.m_Ledger.recordAnswer(OrderAnswer::Accepted, at(0s));
   Engine.loadBegan(LoadSource::Store, 4s, Slowness, at(0s));
   return Engine;
 }
@@ -62,7 +62,7 @@
   ResidencyReport Report;
   Report.m_Models = {{.m_Name = "kept", .m_Adapters = {}},
                      {.m_Name = "other", .m_Adapters = {}}};
-  Engine.m_Ledger.heard(Report, at(0s));
+  Engine.m_Ledger.applyReport(Report, at(0s));
   Engine.keep({"kept", "elsewhere"}, at(10s));
   const auto Fresh = [&](TimePoint Now) {
     return Engine.forModels({}, 1, 6s, Now).m_Fresh;
@@ -76,7 +76,7 @@
   ManagedEngine Engine;
   ResidencyReport Report;
   Report.m_Models = {{.m_Name = "m", .m_Adapters = {}}};
-  Engine.m_Ledger.heard(Report, at(0s));
+  Engine.m_Ledger.applyReport(Report, at(0s));
   UpstreamInstance Entry;
   Entry.m_Id = "e";
   SECTION("at no time while they say the same") {
@@ -95,7 +95,7 @@
     Entry.m_Models = Report.m_Models;
     REQUIRE_FALSE(Engine.takeNews(Entry, at(0s)));
     Report.m_Models.clear();
-    Engine.m_Ledger.heard(Report, at(1s));
+    Engine.m_Ledger.applyReport(Report, at(1s));
     Entry.m_Models.clear();
     REQUIRE(Engine.takeNews(Entry, at(1s)));
   }
