--- a/packages/decisions/process/AdapterPlanner.cpp
+++ b/packages/decisions/process/AdapterPlanner.cpp
@@ -29,16 +29,17 @@
     return Found == m_Copies.end() ? 0 : Found->second;
   }
 
-  /// Whether a copy is on its way somewhere.
+  /// Whether a copy is being loaded on any engine.
   bool isLoading(const AdapterKey &Key) const {
-    const Holders &Of = holders(Key.first);
-    return std::any_of(Of.begin(), Of.end(), [&](const AdapterEngine *Each) {
-      return Each->m_Ledger->isLoading(Key.first, Key.second);
-    });
+    const Holders &Engines = holders(Key.first);
+    return std::any_of(
+        Engines.begin(), Engines.end(), [&](const AdapterEngine *Each) {
+          return Each->m_Ledger->isLoading(Key.first, Key.second);
+        });
   }
 
-  /// Plans the load of \p Key, or the unload that makes room for it.
-  /// \p MayEvict judges the adapter that would make way.
+  /// Plans the load of \p Key, or the unload that frees a slot for it. \p
+  /// MayEvict decides whether a given adapter may be evicted.
   template <typename EvictionTest>
   bool planLoad(const AdapterKey &Key, EvictionTest MayEvict) {
     const ResidencyOrder Load{
@@ -65,8 +66,8 @@
 private:
   using Holders = std::vector<const AdapterEngine *>;
 
-  /// Engines that hold \p Model, in their order. An adapter goes to no other,
-  /// and comes to no other.
+  /// Engines that hold \p Model, in their order. An adapter can be loaded only
+  /// where its model is.
   const Holders &holders(const std::string &Model) const {
     static const Holders None;
     const auto Found = m_Holders.find(Model);
@@ -79,7 +80,7 @@
     return true;
   }
 
-  /// The least wanted copy on \p At makes way.
+  /// Plans to unload the adapter on \p At with the lowest rate per copy.
   template <typename EvictionTest>
   bool planUnload(const AdapterEngine &At, EvictionTest MayEvict) {
     std::optional<AdapterKey> LeastWanted;
@@ -88,7 +89,7 @@
         const AdapterKey Key{Model.m_Name, Adapter};
         if (At.m_Fresh.contains(Key))
           continue;
-        if (!LeastWanted || worth(Key) < worth(*LeastWanted))
+        if (!LeastWanted || ratePerCopy(Key) < ratePerCopy(*LeastWanted))
           LeastWanted = Key;
       }
     if (!LeastWanted || !MayEvict(*LeastWanted))
@@ -99,7 +100,7 @@
     return At.m_Ledger->allows(Unload, m_Spec) && addMove(At, Unload);
   }
 
-  double worth(const AdapterKey &Key) const {
+  double ratePerCopy(const AdapterKey &Key) const {
     return rate(Key) / std::max(1, copies(Key));
   }
 
--- a/packages/decisions/process/AdapterPlanner.h
+++ b/packages/decisions/process/AdapterPlanner.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which adapters are on which engines.
+/// Plans which adapters are loaded on which engines.
 #ifndef HAVENSTAIR_DECISIONS_PROCESS_ADAPTERPLANNER_H
 #define HAVENSTAIR_DECISIONS_PROCESS_ADAPTERPLANNER_H
 
@@ -15,20 +15,25 @@
 
 namespace havenstair {
 
-/// An adapter of a model.
+/// The name of a model and the name of an adapter of it.
 using AdapterKey = std::pair<std::string, std::string>;
 
 /// An engine whose adapters may be changed now.
 struct AdapterEngine {
   InstanceId m_Id;
+  /// What the engine holds; never null when planned with.
   const EngineLedger *m_Ledger = nullptr;
-  double m_Busy = 0; ///< Part of its time; the less busy one is chosen.
-  /// Models that are about to make way.
+  /// Fraction of its time for which the engine is busy. Of several engines the
+  /// least busy one is used.
+  double m_Busy = 0;
+  /// Models that are about to be unloaded.
   std::set<std::string> m_Retiring;
-  /// Adapters that came a moment ago; requests wait for them.
+  /// Adapters loaded a moment ago; they are not evicted, as requests wait for
+  /// them.
   std::set<AdapterKey> m_Fresh;
 };
 
+/// An order to load or unload an adapter on one engine.
 struct AdapterMove {
   InstanceId m_Engine;
   ResidencyOrder m_Order;
@@ -36,19 +41,25 @@
   bool operator==(const AdapterMove &) const = default;
 };
 
+/// When another copy of an adapter is loaded, and when one is evicted for it.
 struct AdapterOptions {
-  /// Requests a second by copy above which another copy is worth its order.
+  /// Requests per second and copy above which another copy may evict an
+  /// adapter.
   double m_RatePerCopy = 1.2;
-  /// The same where a planLoad is free.
+  /// Requests per second and copy above which another copy is loaded where an
+  /// adapter slot is free.
   double m_RateWhenFree = 0.05;
-  /// An adapter makes way only for one that is wanted this many times more.
+  /// An adapter is evicted only for one whose rate per copy is more than this
+  /// many times as high.
   double m_SwapFactor = 3;
-  /// Whether more copies are planned than what requests wait for.
+  /// Whether further copies are planned beside the adapters that requests wait
+  /// for.
   bool m_Copies = true;
 };
 
-/// The next order for each engine at most. Adapters in \p Missing are waited
-/// for and come first, in their order. \p Rates: requests a second.
+/// Plans at most one order for each engine. Adapters in \p Missing have
+/// requests that wait for them; they come first, in this order. \p Rates are in
+/// requests per second.
 std::vector<AdapterMove> planAdapters(const std::vector<AdapterEngine> &Engines,
                                       const std::vector<AdapterKey> &Missing,
                                       const std::map<AdapterKey, double> &Rates,
--- a/packages/decisions/process/Backoff.cpp
+++ b/packages/decisions/process/Backoff.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Beyond this many doublings every cap in use has been reached.
+/// After this many doublings every cap in use has been reached.
 constexpr int MaxDoublings = 20;
-/// Part of the wait that jitter cannot take away.
+/// Fraction of a pause that jitter cannot take away.
 constexpr double MinWaitFraction = 0.1;
 
 } // namespace
--- a/packages/decisions/process/BoxCensus.cpp
+++ b/packages/decisions/process/BoxCensus.cpp
@@ -6,9 +6,9 @@
 namespace havenstair {
 
 void BoxCensus::setListed(std::set<std::string> Machines, TimePoint Now) {
-  for (const std::string &Before : m_Listed)
-    if (!Machines.contains(Before))
-      m_DepartedAt[Before] = Now;
+  for (const std::string &Machine : m_Listed)
+    if (!Machines.contains(Machine))
+      m_DepartedAt[Machine] = Now;
   m_Listed = std::move(Machines);
   std::erase_if(m_DepartedAt, [&](const auto &Each) {
     return m_Listed.contains(Each.first) || Now - Each.second > Retention;
--- a/packages/decisions/process/BoxCensus.h
+++ b/packages/decisions/process/BoxCensus.h
@@ -1,5 +1,5 @@
 /// \file
-/// How many boxes may be at work, also those that cannot be heard of now.
+/// Counts the boxes that may be serving, including those out of reach.
 #ifndef HAVENSTAIR_DECISIONS_PROCESS_BOXCENSUS_H
 #define HAVENSTAIR_DECISIONS_PROCESS_BOXCENSUS_H
 
@@ -11,23 +11,25 @@
 
 namespace havenstair {
 
-/// Counts boxes by the name of their machine: a process that starts again is
+/// Counts boxes by the names of their machines: a process that starts again is
 /// the same box.
 class BoxCensus {
 public:
-  /// A box that left the list counts for this long: it may be cut off together
-  /// with the store's word of it, and still serve. Longer than the minutes for
-  /// which regions lose each other; a box that is gone for good costs the
-  /// others its part of what is shared until then.
+  /// How long a box counts after it left the list: it may be partitioned away,
+  /// together with the part of the store that lists it, and still serve. Longer
+  /// than the minutes for which regions lose each other. A box that is gone for
+  /// good costs the others its share of quotas until then.
   static constexpr Duration Retention = 600s;
 
-  /// From \p Now on \p Machines are setListed, and no others.
+  /// Replaces the listed machines by \p Machines.
   void setListed(std::set<std::string> Machines, TimePoint Now);
-  /// At least 1.
+  /// The number of boxes that are listed or left the list within Retention; at
+  /// least 1.
   std::size_t count(TimePoint Now) const;
 
 private:
   std::set<std::string> m_Listed;
+  /// When machines left the list.
   std::map<std::string, TimePoint> m_DepartedAt;
 };
 
--- a/packages/decisions/process/ConcurrencyHome.h
+++ b/packages/decisions/process/ConcurrencyHome.h
@@ -1,6 +1,7 @@
 /// \file
-/// Counts the requests of each group that run through any box of a data
-/// centre. One box counts for a group; see docs/design/limits.md.
+/// Counts the running requests of each group over all boxes of a data
+/// centre. One box, the group's home, keeps its count; see
+/// docs/design/limits.md.
 #ifndef HAVENSTAIR_DECISIONS_PROCESS_CONCURRENCYHOME_H
 #define HAVENSTAIR_DECISIONS_PROCESS_CONCURRENCYHOME_H
 
@@ -9,22 +10,26 @@
 
 namespace havenstair {
 
-/// Exact while every box asks before it starts and tells when it ends. Boxes
-/// always setRunning their whole count, so a message that was lost or came
-/// twice is mended by the next one.
+/// Keeps the counts of the groups whose home this box is. The counts are exact
+/// while every box asks before it starts a request and reports when one ends.
+/// Boxes always report their whole count, so a lost or duplicated message is
+/// corrected by the next one.
 class ConcurrencyHome {
 public:
-  /// \p Box wants to run \p Running requests of \p Group, the new one among
-  /// them. \returns whether the limit allows it; only then it is counted.
+  /// Box \p Box asks to run \p Running requests of \p Group, including the new
+  /// one. \returns whether that stays within \p Limit; only then the count is
+  /// changed.
   bool tryRun(const GroupName &Group, const BoxName &Box, int Running,
               int Limit);
-  /// \p Box runs \p Running requests of \p Group now.
+  /// Records that \p Box runs \p Running requests of \p Group now.
   void setRunning(const GroupName &Group, const BoxName &Box, int Running);
-  /// A box is gone with all that it ran.
+  /// Forgets all counts of \p Box, which is gone.
   void forget(const BoxName &Box);
+  /// Requests of \p Group that run over all boxes.
   int running(const GroupName &Group) const;
 
 private:
+  /// Running requests by group and box; only counts above 0.
   std::map<GroupName, std::map<BoxName, int>> m_Counts;
 };
 
--- a/packages/decisions/process/ConfigFetchPolicy.cpp
+++ b/packages/decisions/process/ConfigFetchPolicy.cpp
@@ -5,19 +5,20 @@
 namespace havenstair {
 
 bool ConfigFetchPolicy::recordReport(const BoxName &From,
-                                     const PeerVersions &Of, TimePoint Now) {
-  const ConfigVersion Version = std::max(Of.m_Held, Of.m_Known);
+                                     const PeerVersions &Versions,
+                                     TimePoint Now) {
+  const ConfigVersion Version = std::max(Versions.m_Held, Versions.m_Known);
   const bool News = Version > m_Newest.m_Version;
-  // Counted from the first version that it lacks: were each newer one to begin
-  // the waits anew, a box would follow none of a quick series.
+  // Counted from the first version that the box lacks: if each newer one
+  // restarted the waits, the box would get none of a quick series.
   if (News && m_Newest.m_Version <= m_Known) {
     m_BehindSince = Now;
     m_TryingSince = Now;
   }
   if (News)
     m_Newest = {.m_Version = Version, .m_By = From, .m_At = Now};
-  if (Of.m_Held > m_Held) {
-    m_Held = Of.m_Held;
+  if (Versions.m_Held > m_Held) {
+    m_Held = Versions.m_Held;
     m_Source = From;
   }
   return News;
@@ -34,7 +35,8 @@
   return m_Newest.m_Version > Known ? Now - m_BehindSince : 0us;
 }
 
-/// What has brought a version works: the next one is waited for anew.
+/// A version that arrived shows that its way works, so the waits start again
+/// for the next one.
 void ConfigFetchPolicy::noteProgress(ConfigVersion Known) {
   if (Known <= m_Known)
     return;
--- a/packages/decisions/process/ConfigFetchPolicy.h
+++ b/packages/decisions/process/ConfigFetchPolicy.h
@@ -1,5 +1,6 @@
 /// \file
-/// How a box comes by a configuration that it lacks. See docs/design/fleet.md.
+/// Decides how a box fetches a configuration version that it lacks. See
+/// docs/design/fleet.md.
 #ifndef HAVENSTAIR_DECISIONS_PROCESS_CONFIGFETCHPOLICY_H
 #define HAVENSTAIR_DECISIONS_PROCESS_CONFIGFETCHPOLICY_H
 
@@ -9,85 +10,108 @@
 
 namespace havenstair {
 
-/// What a box does next to have the newest configuration that it was
-/// recordReport of.
+/// What a box does next to get the newest configuration version that it knows
+/// of.
 enum class ConfigStep {
-  None,        ///< Nothing, or wait for what is under way.
-  AskPeer,     ///< AskPeer the box that holds it for its copy.
-  ReadStale,   ///< Read the store; an older answer may be new enough.
-  ReadCurrent, ///< Read the store.
-  RestartWatch ///< The box's own watch has not recordReport: begin it again.
+  /// Nothing, or wait for the call that is under way.
+  None,
+  /// Ask the peer that has the version for a copy.
+  AskPeer,
+  /// Read the store; an older answer may be new enough.
+  ReadStale,
+  /// Read the store, current at the time of the read.
+  ReadCurrent,
+  /// Start the box's own watch of the store again, as it has not delivered the
+  /// version.
+  RestartWatch
 };
 
-/// Knows which version a box was recordReport of, who holds it, and what was
-/// tried. After a failure each way is tried again within MaxRetryPause, however
-/// long it has failed: a pause that went on growing would outlast the time in
-/// which a version must be in force, when the way is well again.
+/// Tracks the newest version that peers reported, which peer has it, and which
+/// attempts were made to get it. After a failure each way is retried within
+/// MaxRetryPause, however long it has failed: a pause that kept growing could
+/// outlast the time in which a version must be in force, once the way works
+/// again.
 class ConfigFetchPolicy {
 public:
-  /// A watch that has not recordReport by now what another box knows is taken
-  /// as dead: it tells within some ms, unless half a megabyte comes over a slow
+  /// A watch that has not delivered by now what a peer knows counts as dead: it
+  /// delivers within milliseconds, unless half a megabyte comes over a slow
   /// link. With the time in which the box that reads for all finds its own
-  /// watch dead less than the 2 s in which operators want a configuration in
-  /// force.
+  /// watch dead, this is less than the 2 s in which operators want a
+  /// configuration in force.
   static constexpr Duration WatchSilenceTimeout = 200ms;
-  /// A box that leaves the reading to another one gives that one as long to
-  /// have the version, and to send it.
+  /// A box that leaves reading the store to another one gives that one this
+  /// long to get the version and to send it.
   static constexpr Duration SourceTimeout = 1s;
-  /// One that reads shouldAsk a peer later: when the store turns it away, and
-  /// later still while a read is under way, as two copies share the link.
+  /// A box that reads the store itself asks a peer this long after it first
+  /// tried, as when the store has refused its read, and later still while a
+  /// read is under way, as two copies share the link.
   static constexpr Duration AskDelay = 400ms;
   static constexpr Duration AskDelayWhileReading = 1s;
-  /// Between two tries on the same way; the pause doubles up to the longest.
+  /// Pause between two attempts on one way; it doubles with each up to
+  /// MaxRetryPause.
   static constexpr Duration MinRetryPause = 200ms;
-  /// A copy is sent, and unpacked by a small box, within this.
+  /// Shortest pause between two requests to a peer: a copy is sent, and
+  /// unpacked by a small box, within this time.
   static constexpr Duration MinAskPause = 500ms;
   static constexpr Duration MaxRetryPause = 1s;
 
-  /// How the box stands when it decides.
+  /// The state of the box at the time of a decision.
   struct Situation {
-    ConfigVersion m_Known = 0;  ///< The version that it serves by.
-    bool m_Reading = false;     ///< A read of the store is under way.
-    bool m_Watching = false;    ///< It keeps a watch of its own.
-    bool m_DefersReads = false; ///< It reads only when nobody sends a copy.
+    /// The version that it serves by.
+    ConfigVersion m_Known = 0;
+    /// Whether a read of the store is under way.
+    bool m_Reading = false;
+    /// Whether it watches the store itself.
+    bool m_Watching = false;
+    /// Whether it leaves reading the store to others, unless no peer sends a
+    /// copy.
+    bool m_DefersReads = false;
   };
 
-  /// The newest version that another box recordReport of.
+  /// The newest version that a peer reported.
   struct NewestVersion {
     ConfigVersion m_Version = 0;
-    BoxName m_By;     ///< The first to tell of it.
-    TimePoint m_At{}; ///< When it did.
+    /// The peer that reported it first.
+    BoxName m_By;
+    /// When it was first reported.
+    TimePoint m_At{};
   };
 
-  /// What another box tells of configurations.
+  /// The versions that a peer reports.
   struct PeerVersions {
-    ConfigVersion m_Held = 0; ///< It can send its copy of that one.
-    ConfigVersion m_Known =
-        0; ///< The newest that it was recordReport of itself.
+    /// The version that the peer can send a copy of; 0 for none.
+    ConfigVersion m_Held = 0;
+    /// The newest version that the peer knows of.
+    ConfigVersion m_Known = 0;
   };
 
-  /// \returns whether there is a version that was not known of.
-  bool recordReport(const BoxName &From, const PeerVersions &Of, TimePoint Now);
-  /// \p Box cannot be asked any more.
+  /// Records which versions \p From reports. \returns whether one is newer than
+  /// all known before.
+  bool recordReport(const BoxName &From, const PeerVersions &Versions,
+                    TimePoint Now);
+  /// Records that \p Box can be asked no longer.
   void forget(const BoxName &Box);
-  /// What to do now. A step that is returned counts as taken.
+  /// Decides what to do at \p Now. A step that is returned counts as taken.
   ConfigStep next(const Situation &At, TimePoint Now);
 
+  /// The newest version that a peer reported; version 0 when none did.
   const NewestVersion &newest() const { return m_Newest; }
-  /// The first box to have the newest version that any is known to have; it is
-  /// asked. Empty when none is known.
+  /// The peer to ask: the first to have the newest version that any peer can
+  /// send. Empty when no peer can send one.
   const BoxName &source() const { return m_Source; }
-  /// How long it waits before it shouldAsk again.
+  /// How long the box waits before it asks a peer again.
   Duration askPause() const { return m_Asks.m_Pause; }
-  /// How long ago it was recordReport of a version newer than \p Known; 0 for
-  /// none.
+  /// Time since a version newer than \p Known was first reported; 0 when none
+  /// was.
   Duration behind(ConfigVersion Known, TimePoint Now) const;
 
 private:
   /// Attempts on one way for one version.
   struct Attempts {
     ConfigVersion m_Version = 0;
+    /// When the last attempt was made.
     TimePoint m_At{};
+    /// Pause before the next attempt.
     Duration m_Pause = 0us;
   };
 
@@ -101,10 +125,13 @@
 
   NewestVersion m_Newest;
   BoxName m_Source;
-  ConfigVersion m_Held = 0; ///< What that one has; 0 without one.
+  /// The version that m_Source can send; 0 when m_Source is empty.
+  ConfigVersion m_Held = 0;
   ConfigVersion m_Known = 0;
-  TimePoint m_BehindSince{}; ///< Of the oldest version that it lacks.
-  TimePoint m_TryingSince{}; ///< The same, or since it last took a version.
+  /// When the oldest version that the box lacks was reported.
+  TimePoint m_BehindSince{};
+  /// The same, or when the box last got a version, whichever is later.
+  TimePoint m_TryingSince{};
   Attempts m_Asks;
   Attempts m_Reads;
 };
--- a/packages/decisions/process/CrashTracker.cpp
+++ b/packages/decisions/process/CrashTracker.cpp
@@ -7,17 +7,17 @@
 
 namespace {
 
-/// Named in a bar, for people.
+/// Upstreams named in a quarantine, for operators.
 constexpr std::size_t MaxNamedUpstreams = 8;
 
-/// Suspicion among other boxes begins with the second end.
+/// A request is a suspect from its second crash on.
 constexpr std::size_t MinSuspectCrashes = 2;
 
-/// Drops the earliest tenth of \p Times when there are more than \p Most.
+/// Drops the oldest tenth of \p Times when there are more than \p Most.
 void boundByTime(std::map<RequestDigest, TimePoint> &Times, std::size_t Most) {
   if (Times.size() <= Most)
     return;
-  // A tenth at once: each search looks at all.
+  // Dropping a tenth at once keeps this rare: each call looks at all entries.
   std::vector<TimePoint> All;
   for (const auto &[Request, At] : Times)
     All.push_back(At);
@@ -34,27 +34,28 @@
 } // namespace
 
 CrashTracker::RecordResult
-CrashTracker::recordCrash(const UpstreamLife &Server,
+CrashTracker::recordCrash(const UpstreamLife &Upstream,
                           const std::vector<RequestDigest> &Running,
                           TimePoint Now) {
   RecordResult Result;
-  if (!m_Crashes.contains(Server) && m_Crashes.size() >= m_Opts.m_MaxCrashes)
+  if (!m_Crashes.contains(Upstream) && m_Crashes.size() >= m_Opts.m_MaxCrashes)
     forgetCrash(std::min_element(m_Crashes.begin(), m_Crashes.end(),
                                  [](const auto &A, const auto &B) {
                                    return A.second.m_At < B.second.m_At;
                                  })
                     ->first);
-  Crash &Of = m_Crashes.try_emplace(Server, Crash{.m_At = Now}).first->second;
+  Crash &Event =
+      m_Crashes.try_emplace(Upstream, Crash{.m_At = Now}).first->second;
   for (const RequestDigest &Each : Running) {
     if (completedRecently(Each, Now)) {
       Result.m_Completed.push_back(Each);
       continue;
     }
-    if (Of.m_Running.size() >= m_Opts.m_MaxRunning ||
-        !Of.m_Running.insert(Each).second)
+    if (Event.m_Running.size() >= m_Opts.m_MaxRunning ||
+        !Event.m_Running.insert(Each).second)
       continue;
-    m_CrashesByRequest[Each].insert(Server);
-    Of.m_UpdatedAt = Now;
+    m_CrashesByRequest[Each].insert(Upstream);
+    Event.m_UpdatedAt = Now;
     Result.m_New = true;
   }
   return Result;
@@ -81,13 +82,13 @@
   return Known;
 }
 
-/// A request that ends each server that runs it never runs to an end, so one
-/// that did is not to blame for any of the ends.
+/// A request that crashes each upstream that runs it never completes, so one
+/// that did complete caused none of the crashes.
 void CrashTracker::clear(const RequestDigest &Request) {
   if (const auto Found = m_CrashesByRequest.find(Request);
       Found != m_CrashesByRequest.end()) {
-    for (const UpstreamLife &Server : Found->second)
-      m_Crashes.at(Server).m_Running.erase(Request);
+    for (const UpstreamLife &Upstream : Found->second)
+      m_Crashes.at(Upstream).m_Running.erase(Request);
     m_CrashesByRequest.erase(Found);
   }
   m_Suspects.erase(Request);
@@ -107,12 +108,12 @@
   return m_Expired.contains(Request) ? 1 : m_Opts.m_CrashThreshold;
 }
 
-bool CrashTracker::explainedByQuarantine(const Crash &Of,
+bool CrashTracker::explainedByQuarantine(const Crash &Event,
                                          const RequestDigest &Request,
                                          TimePoint Now) const {
   if (m_Quarantines.empty())
     return false;
-  return std::any_of(Of.m_Running.begin(), Of.m_Running.end(),
+  return std::any_of(Event.m_Running.begin(), Event.m_Running.end(),
                      [&](const RequestDigest &Other) {
                        return Other != Request &&
                               findQuarantine(Other, Now) != nullptr;
@@ -126,11 +127,11 @@
   const auto Found = m_CrashesByRequest.find(Request);
   if (Found == m_CrashesByRequest.end())
     return Result;
-  for (const UpstreamLife &Server : Found->second) {
-    const Crash &Of = m_Crashes.at(Server);
-    if (Now - Of.m_At < m_Opts.m_CrashRetention &&
-        !explainedByQuarantine(Of, Request, Now))
-      Result.push_back(&Of);
+  for (const UpstreamLife &Upstream : Found->second) {
+    const Crash &Event = m_Crashes.at(Upstream);
+    if (Now - Event.m_At < m_Opts.m_CrashRetention &&
+        !explainedByQuarantine(Event, Request, Now))
+      Result.push_back(&Event);
   }
   return Result;
 }
@@ -147,8 +148,8 @@
 
 std::optional<TimePoint> CrashTracker::nextDecisionTime(TimePoint Now) const {
   std::optional<TimePoint> Result;
-  for (const auto &[Server, Of] : m_Crashes)
-    if (const TimePoint At = Of.m_UpdatedAt + m_Opts.m_ReportDelay; At > Now)
+  for (const auto &[Upstream, Event] : m_Crashes)
+    if (const TimePoint At = Event.m_UpdatedAt + m_Opts.m_ReportDelay; At > Now)
       Result = std::min(Result.value_or(At), At);
   return Result;
 }
@@ -158,19 +159,21 @@
   return independentCrashes(unexplainedCrashes(Request, Now), Request, Now);
 }
 
-/// A request that ends servers was on most of those that ended with it. One
-/// that is fine was on a few of a herd.
-std::size_t CrashTracker::independentCrashes(std::vector<const Crash *> Of,
+/// Counts correlated crashes as one where \p Request was on fewer than half of
+/// them: a request that crashes upstreams was running on most of those that
+/// crash together, a harmless one on a few of them.
+std::size_t CrashTracker::independentCrashes(std::vector<const Crash *> Crashes,
                                              const RequestDigest &Request,
                                              TimePoint Now) const {
-  std::sort(Of.begin(), Of.end(),
+  std::sort(Crashes.begin(), Crashes.end(),
             [](const Crash *A, const Crash *B) { return A->m_At < B->m_At; });
   std::size_t Result = 0;
-  for (auto First = Of.begin(); First != Of.end();) {
+  for (auto First = Crashes.begin(); First != Crashes.end();) {
     const TimePoint End = (*First)->m_At + m_Opts.m_CorrelationWindow;
-    const auto Next = std::find_if(
-        First, Of.end(), [&](const Crash *Each) { return Each->m_At >= End; });
-    const auto Under = static_cast<std::size_t>(Next - First);
+    const auto Next =
+        std::find_if(First, Crashes.end(),
+                     [&](const Crash *Each) { return Each->m_At >= End; });
+    const auto WithRequest = static_cast<std::size_t>(Next - First);
     const auto Correlated = static_cast<std::size_t>(std::count_if(
         m_Crashes.begin(), m_Crashes.end(), [&](const auto &Each) {
           const Crash &Other = Each.second;
@@ -178,14 +181,15 @@
                  Other.m_At < End &&
                  !explainedByQuarantine(Other, Request, Now);
         }));
-    Result += 2 * Under >= Correlated ? Under : 1;
+    Result += 2 * WithRequest >= Correlated ? WithRequest : 1;
     First = Next;
   }
   return Result;
 }
 
-/// Whether it may as well be another one that was there each time. Who ended
-/// servers before is to blame rather than who was beside it.
+/// Whether another request was running at each of the crashes, so either may be
+/// the cause. A request that was quarantined before is blamed rather than those
+/// that ran beside it.
 bool CrashTracker::hasCoSuspect(const RequestDigest &Request,
                                 TimePoint Now) const {
   const std::vector<const Crash *> All = completeCrashes(Request, Now);
@@ -200,19 +204,19 @@
   });
 }
 
-/// Of those that are to be barred the one that was there most often: it may
-/// explain what the others were there for.
+/// Of the requests that qualify for quarantine, the one with most crashes: its
+/// quarantine may explain the crashes of the others.
 std::optional<RequestDigest> CrashTracker::primeSuspect(TimePoint Now) const {
   std::optional<RequestDigest> Result;
   std::size_t Most = 0;
-  for (const auto &[Request, Servers] : m_CrashesByRequest) {
-    if (Servers.size() < requiredCrashes(Request) ||
+  for (const auto &[Request, Upstreams] : m_CrashesByRequest) {
+    if (Upstreams.size() < requiredCrashes(Request) ||
         findQuarantine(Request, Now) != nullptr || m_Released.contains(Request))
       continue;
-    const bool TooMany = Servers.size() >= m_Opts.m_UnconditionalThreshold;
+    const bool TooMany = Upstreams.size() >= m_Opts.m_UnconditionalThreshold;
     const std::size_t Count =
         TooMany
-            ? Servers.size()
+            ? Upstreams.size()
             : independentCrashes(completeCrashes(Request, Now), Request, Now);
     if (Count < requiredCrashes(Request) || Count <= Most ||
         (!TooMany && hasCoSuspect(Request, Now)))
@@ -237,9 +241,9 @@
                                  const BoxName &By, TimePoint Now) {
   RequestQuarantine Quarantine{
       .m_By = By, .m_Since = Now, .m_Until = Now + m_Opts.m_QuarantineDuration};
-  for (const UpstreamLife &Server : m_CrashesByRequest.at(Request))
+  for (const UpstreamLife &Upstream : m_CrashesByRequest.at(Request))
     if (Quarantine.m_Servers.size() < MaxNamedUpstreams)
-      Quarantine.m_Servers.push_back(Server.m_Id);
+      Quarantine.m_Servers.push_back(Upstream.m_Id);
   insertQuarantine(Request, std::move(Quarantine));
 }
 
@@ -259,7 +263,8 @@
 
 bool CrashTracker::adopt(const RequestDigest &Request,
                          RequestQuarantine Quarantine, TimePoint Now) {
-  // A box that has just learned of a bar would else keep it up for ever.
+  // Otherwise boxes that learn of a quarantine from each other would keep it up
+  // for ever.
   if (m_Quarantines.contains(Request) || m_Expired.contains(Request) ||
       m_Lifted.contains(Request) || m_Released.contains(Request) ||
       completedRecently(Request, Now))
@@ -276,24 +281,24 @@
     clear(Each);
 }
 
-void CrashTracker::forgetCrash(const UpstreamLife &Server) {
-  const auto Found = m_Crashes.find(Server);
+void CrashTracker::forgetCrash(const UpstreamLife &Upstream) {
+  const auto Found = m_Crashes.find(Upstream);
   for (const RequestDigest &Each : Found->second.m_Running) {
-    const auto Under = m_CrashesByRequest.find(Each);
-    Under->second.erase(Server);
-    if (Under->second.empty())
-      m_CrashesByRequest.erase(Under);
+    const auto WithRequest = m_CrashesByRequest.find(Each);
+    WithRequest->second.erase(Upstream);
+    if (WithRequest->second.empty())
+      m_CrashesByRequest.erase(WithRequest);
   }
   m_Crashes.erase(Found);
 }
 
 void CrashTracker::prune(TimePoint Now) {
   std::vector<UpstreamLife> Old;
-  for (const auto &[Server, Of] : m_Crashes)
-    if (Now - Of.m_At >= m_Opts.m_CrashRetention)
-      Old.push_back(Server);
-  for (const UpstreamLife &Server : Old)
-    forgetCrash(Server);
+  for (const auto &[Upstream, Event] : m_Crashes)
+    if (Now - Event.m_At >= m_Opts.m_CrashRetention)
+      Old.push_back(Upstream);
+  for (const UpstreamLife &Upstream : Old)
+    forgetCrash(Upstream);
   for (auto Each = m_Quarantines.begin(); Each != m_Quarantines.end();) {
     if (Now < Each->second.m_Until) {
       ++Each;
--- a/packages/decisions/process/DataCentreRisk.cpp
+++ b/packages/decisions/process/DataCentreRisk.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Work that \p Replicas lose each second when \p Demand is spread over them.
+/// Work that \p Replicas lose per second when \p Demand is spread over them.
 double lostBy(int Replicas, double Demand) {
   return Replicas * lostWork(Demand / Replicas);
 }
@@ -27,16 +27,17 @@
 }
 
 void DataCentreRisk::add(std::size_t Engine, const std::string &Model) {
-  Counts &Of = m_Replicas[Model];
-  Of.resize(m_DataCentres);
-  ++Of[m_DataCentre[Engine]];
+  Counts &Replicas = m_Replicas[Model];
+  Replicas.resize(m_DataCentres);
+  ++Replicas[m_DataCentre[Engine]];
 }
 
 void DataCentreRisk::remove(std::size_t Engine, const std::string &Model) {
   --m_Replicas.at(Model)[m_DataCentre[Engine]];
 }
 
-double DataCentreRisk::reduction(const std::string &Model, const Work &Of,
+double DataCentreRisk::reduction(const std::string &Model,
+                                 const Work &Requested,
                                  const Change &To) const {
   if (m_Weight <= 0 || m_DataCentres < 2)
     return 0;
@@ -48,19 +49,21 @@
     ++After[m_DataCentre[*To.m_More]];
   if (To.m_Less)
     --After[m_DataCentre[*To.m_Less]];
-  return m_Weight * (at(Before, Of) - at(After, Of));
+  return m_Weight *
+         (additionalLoss(Before, Requested) - additionalLoss(After, Requested));
 }
 
-/// What is lost besides when the data centre that holds most is lost. A model
-/// that no engine holds cannot fall further: a first replica anywhere is no
-/// more at risk than none.
-double DataCentreRisk::at(const Counts &Replicas, const Work &Of) const {
+/// The additional loss when the data centre with most replicas fails. A model
+/// that no engine holds cannot lose more: a first replica anywhere is no more
+/// at risk than none.
+double DataCentreRisk::additionalLoss(const Counts &Replicas,
+                                      const Work &Requested) const {
   const int All = std::accumulate(Replicas.begin(), Replicas.end(), 0);
   const int Left = All - *std::max_element(Replicas.begin(), Replicas.end());
   if (Left <= 0)
-    return Of.m_Unreachable;
-  return std::min(Of.m_Unreachable,
-                  lostBy(Left, Of.m_Demand) - lostBy(All, Of.m_Demand));
+    return Requested.m_Unreachable;
+  return std::min(Requested.m_Unreachable, lostBy(Left, Requested.m_Demand) -
+                                               lostBy(All, Requested.m_Demand));
 }
 
 } // namespace havenstair
--- a/packages/decisions/process/DataCentreRisk.h
+++ b/packages/decisions/process/DataCentreRisk.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the loss of one data centre would cost each model.
+/// Estimates the work that each model would lose with one data centre.
 #ifndef HAVENSTAIR_DECISIONS_PROCESS_DATACENTRERISK_H
 #define HAVENSTAIR_DECISIONS_PROCESS_DATACENTRERISK_H
 
@@ -12,40 +12,50 @@
 
 namespace havenstair {
 
-/// Counts the replicas of each model by data centre. With engines in one data
-/// centre only, or a weight of 0, nothing is at risk.
+/// Counts the replicas of each model by data centre. Nothing is at risk when
+/// all engines are in one data centre or the weight is 0.
 class DataCentreRisk {
 public:
-  /// Work that is asked of a model, in engines' worth.
+  /// The work that is requested of a model, as a number of fully busy engines.
   struct Work {
+    /// Number of engines that the requested work would keep busy.
     double m_Demand = 0;
-    /// Lost each second when no engine holds it.
+    /// Work lost per second when no engine holds the model.
     double m_Unreachable = 0;
   };
-  /// Engines that gain, and lose, a replica of the model that is asked for.
+  /// Indexes of the engines that gain and lose a replica of the model; empty
+  /// for none.
   struct Change {
     std::optional<std::size_t> m_More;
     std::optional<std::size_t> m_Less;
   };
 
-  /// \p Weight: see PlannerOptions::m_SpreadWorth.
+  /// See PlannerOptions::m_SpreadWorth for \p Weight.
   DataCentreRisk(const std::vector<PlannedEngine> &Engines, double Weight);
 
+  /// Records that engine number \p Engine holds \p Model.
   void add(std::size_t Engine, const std::string &Model);
+  /// Records that engine number \p Engine no longer holds \p Model. \throws
+  /// std::out_of_range when the model was never added.
   void remove(std::size_t Engine, const std::string &Model);
-  /// By how much the expected loss of work each second falls with \p To, in
-  /// engines' worth.
-  double reduction(const std::string &Model, const Work &Of,
+  /// How much less work is expected to be lost per second after the change \p
+  /// To, as a number of fully busy engines.
+  double reduction(const std::string &Model, const Work &Requested,
                    const Change &To) const;
 
 private:
-  using Counts = std::vector<int>; ///< By data centre.
+  /// Number of replicas by number of the data centre.
+  using Counts = std::vector<int>;
 
-  double at(const Counts &Replicas, const Work &Of) const;
+  /// The additional work lost per second when the data centre with most
+  /// replicas fails.
+  double additionalLoss(const Counts &Replicas, const Work &Requested) const;
 
   double m_Weight;
-  std::vector<std::size_t> m_DataCentre; ///< By engine.
+  /// Number of the data centre by number of the engine.
+  std::vector<std::size_t> m_DataCentre;
   std::size_t m_DataCentres = 0;
+  /// Replicas by model.
   std::unordered_map<std::string, Counts> m_Replicas;
 };
 
--- a/packages/decisions/process/DemandRates.cpp
+++ b/packages/decisions/process/DemandRates.cpp
@@ -7,17 +7,17 @@
 
 namespace {
 
-/// Below this many requests a second a key is not told.
+/// Keys with fewer requests per second than this are not reported.
 constexpr double MinReportedRequests = 0.002;
 
-ModelDemand scaled(const ModelDemand &Of, double Factor) {
-  return {.m_Requests = Of.m_Requests * Factor,
-          .m_WorkMs = Of.m_WorkMs * Factor};
+ModelDemand scaled(const ModelDemand &Demand, double Factor) {
+  return {.m_Requests = Demand.m_Requests * Factor,
+          .m_WorkMs = Demand.m_WorkMs * Factor};
 }
 
-/// Both rates lag behind a demand that moves steadily, each by its time
-/// constant; so their difference tells how fast it moves.
-double ahead(double Fast, double Slow, double Lead) {
+/// Both rates lag behind a steadily moving demand by their time constants, so
+/// their difference is proportional to its slope.
+double extrapolated(double Fast, double Slow, double Lead) {
   return std::max(0.0, (Fast + Slow) / 2 + Lead * (Fast - Slow));
 }
 
@@ -53,10 +53,11 @@
 }
 
 ModelDemand DemandRates::expected(const KeyRates &From) const {
-  return {.m_Requests = ahead(From.m_Fast.m_Requests, From.m_Slow.m_Requests,
-                              m_Opts.m_LookaheadSeconds),
-          .m_WorkMs = ahead(From.m_Fast.m_WorkMs, From.m_Slow.m_WorkMs,
-                            m_Opts.m_LookaheadSeconds)};
+  return {.m_Requests =
+              extrapolated(From.m_Fast.m_Requests, From.m_Slow.m_Requests,
+                           m_Opts.m_LookaheadSeconds),
+          .m_WorkMs = extrapolated(From.m_Fast.m_WorkMs, From.m_Slow.m_WorkMs,
+                                   m_Opts.m_LookaheadSeconds)};
 }
 
 ModelDemand DemandRates::rate(const ModelKey &Key, TimePoint Now) const {
--- a/packages/decisions/process/DemandRates.h
+++ b/packages/decisions/process/DemandRates.h
@@ -1,5 +1,5 @@
 /// \file
-/// Demand by model as a rate, with the direction in which it moves.
+/// Estimates the demand for each model as a rate, including its trend.
 #ifndef HAVENSTAIR_DECISIONS_PROCESS_DEMANDRATES_H
 #define HAVENSTAIR_DECISIONS_PROCESS_DEMANDRATES_H
 
@@ -9,38 +9,43 @@
 
 namespace havenstair {
 
-/// Two exponentially weighted rates for each key, a fast and a slow one. Their
-/// difference tells whether demand rises, so that a replica is ordered before
-/// it is missed: a load takes as long as demand takes to move.
+/// Keeps two exponentially weighted rates for each key, a fast and a slow one.
+/// Their difference shows whether demand rises, so that a replica is ordered
+/// before it is needed: a load takes about as long as demand takes to move.
 class DemandRates {
 public:
   struct Options {
-    Duration m_Fast = 1s; ///< Time constants.
+    /// Time constants of the fast and the slow rate.
+    Duration m_Fast = 1s;
     Duration m_Slow = 4s;
-    /// Of the rate that tells which models are usually asked for.
+    /// Time constant of the baseline, which shows the models that are usually
+    /// requested.
     Duration m_Baseline = 30s;
-    /// How far ahead demand is told, in seconds, by the difference of the two
-    /// rates.
+    /// How far ahead demand is predicted from the difference of the two rates.
     double m_LookaheadSeconds = 1.5;
   };
 
   DemandRates() : DemandRates(Options{}) {}
   explicit DemandRates(Options Opts) : m_Opts(Opts) {}
 
+  /// Adds \p Demand that came at \p Now.
   void add(const ModelKey &Key, const ModelDemand &Demand, TimePoint Now);
-  /// \p Key is believed to be asked for at \p Demand usually, until that has
-  /// been forgotten as any demand is.
+  /// Raises the baseline of \p Key to \p Demand, in units per second, where it
+  /// is lower. It decays from there as any baseline does.
   void expect(const ModelKey &Key, const ModelDemand &Demand, TimePoint Now);
-  /// Expected rate per second.
+  /// Predicted rate per second; zero for an unknown key.
   ModelDemand rate(const ModelKey &Key, TimePoint Now) const;
-  /// All keys with a rate worth telling.
+  /// Predicted rates per second of all keys whose rate is high enough to
+  /// report.
   ModelDemands rates(TimePoint Now) const;
-  /// Mean rate per second over half a minute or so, by model.
+  /// Mean rates per second over about half a minute, of models without their
+  /// adapters.
   ModelDemands baseline(TimePoint Now) const;
   /// Whether any demand was ever added.
   bool empty() const { return m_ByKey.empty(); }
 
 private:
+  /// Rates per second of one key as of m_At.
   struct KeyRates {
     ModelDemand m_Fast;
     ModelDemand m_Slow;
--- a/packages/decisions/process/EchoClock.cpp
+++ b/packages/decisions/process/EchoClock.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// At four words a second, half a minute: older words count for nothing.
+/// Half a minute at four messages a second; older messages are never used.
 constexpr std::size_t MaxRemembered = 128;
 
 } // namespace
--- a/packages/decisions/process/EngineLedger.cpp
+++ b/packages/decisions/process/EngineLedger.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Adapters that may be on their way to an engine at one time.
+/// Adapters that an engine loads at one time.
 constexpr std::size_t MaxLoadingAdapters = 4;
 
 double adapterMb(const EngineSpec &Spec, const std::string &Model) {
@@ -17,10 +17,11 @@
 
 double modelMb(const EngineSpec &Spec, const std::string &Model) {
   const ModelSpec *Found = Spec.model(Model);
-  // A model that the configuration no longer names may take any room.
+  // A model that the configuration no longer names may be of any size.
   return Found == nullptr ? Spec.m_WeightsMb : Found->m_SizeMb;
 }
 
+/// Memory and adapter slots that a set of loads takes.
 struct Footprint {
   double m_Mb = 0;
   int m_Adapters = 0;
@@ -29,10 +30,10 @@
 Footprint footprintOf(const std::set<ResidencyOrder> &Loads,
                       const EngineSpec &Spec) {
   Footprint Result;
-  for (const ResidencyOrder &Each : Loads) {
-    const bool OfModel = Each.m_Adapter.empty();
+  for (const ResidencyOrder &Load : Loads) {
+    const bool OfModel = Load.m_Adapter.empty();
     Result.m_Mb +=
-        OfModel ? modelMb(Spec, Each.m_Model) : adapterMb(Spec, Each.m_Model);
+        OfModel ? modelMb(Spec, Load.m_Model) : adapterMb(Spec, Load.m_Model);
     Result.m_Adapters += OfModel ? 0 : 1;
   }
   return Result;
@@ -66,18 +67,18 @@
   return m_Known && Report.m_OrderCount < m_Count;
 }
 
-/// Remembers that \p Report tells a lower count. \returns whether it does so
-/// because the engine has started again.
+/// Records that \p Report has a lower count than known. \returns whether that
+/// shows a restart of the engine.
 bool EngineLedger::confirmsRestart(const ResidencyReport &Report,
                                    TimePoint AskedAt) {
-  // A lateOrders answer may have taken the place of the one that was due.
+  // One such report may be a late answer in place of the one that was due.
   return Report.m_Born == 0 && AskedAt > m_CountKnownAt &&
          std::exchange(m_SawLowerCount, true);
 }
 
 bool EngineLedger::applyReport(const ResidencyReport &Report, TimePoint Now,
                                TimePoint AskedAt) {
-  // While a call is under way its answer tells how the count moves.
+  // While a call is under way, its answer tells how the count moves.
   if (m_Call)
     return false;
   const bool Restarted = isOlder(Report);
@@ -106,7 +107,7 @@
   if (!Report.m_OrderUnderWay)
     m_ModelOrder.reset();
   else if (!m_ModelOrder)
-    m_ModelOrder = ResidencyOrder{}; // Somebody else's, of unknown kind.
+    m_ModelOrder = ResidencyOrder{}; // Another box's order, of unknown kind.
   return Restarted;
 }
 
@@ -156,8 +157,8 @@
   return Sum;
 }
 
-/// Whether \p Order fits beside what it holds and lateOrders orders may still
-/// bring.
+/// Whether \p Order fits beside what the engine holds and what late orders may
+/// still load.
 bool EngineLedger::fitsBesideLate(const ResidencyOrder &Order,
                                   const EngineSpec &Spec) const {
   std::set<ResidencyOrder> Loads = m_LateOrders.loads(m_Count);
@@ -172,9 +173,8 @@
           adapters() + Wanted.m_Adapters <= Spec.m_AdapterCapacity);
 }
 
-/// Whether \p Order and all lateOrders ones fit together into an engine that
-/// holds nothing: before anybody knows that it has started again, they may all
-/// come.
+/// Whether \p Order and all late orders together fit into an empty engine:
+/// after a restart they may all be carried out before anybody knows of it.
 bool EngineLedger::fitsLaterStart(const ResidencyOrder &Order,
                                   const EngineSpec &Spec) const {
   std::set<ResidencyOrder> Loads = m_LateOrders.loads();
@@ -231,13 +231,13 @@
   case OrderAnswer::AlreadyDone:
     if (!Ended.m_Order.m_Load && !Ended.m_Order.m_Adapter.empty() &&
         !m_Uncertain) {
-      // An adapter that no request uses goes at once.
+      // An adapter that no request uses is unloaded at once.
       m_CountKnownAt = Now;
       m_Count = Ended.m_Expected + 1;
       dropAdapter(Ended.m_Order.m_Model, Ended.m_Order.m_Adapter);
       return;
     }
-    // What is still on its way has nothing left to change.
+    // A late copy of the order has nothing left to change.
     m_Uncertain.reset();
     m_NeedsRefresh = true;
     return;
@@ -250,7 +250,7 @@
   case OrderAnswer::Lost:
     Ended.m_At = Now;
     m_Uncertain = Ended;
-    m_LateOrders.lost(Ended.m_Order, Ended.m_Expected, Now);
+    m_LateOrders.add(Ended.m_Order, Ended.m_Expected, Now);
     return;
   }
 }
--- a/packages/decisions/process/EngineOrders.cpp
+++ b/packages/decisions/process/EngineOrders.cpp
@@ -91,7 +91,7 @@
 EngineActions EngineOrders::setKvReserve(MemoryMiB Reserve, TimePoint Now) {
   if (!m_Ready || hasPending(ArtifactName()))
     return {};
-  // Until the change is seen, the larger of the two reserves is taken.
+  // Until the engine reports the change, the larger of the two reserves counts.
   const MemoryMiB Larger = std::max(Reserve, m_Ledger.kvReserve());
   if (Reserve < 0 || !m_Ledger.trySetKvReserve(Larger))
     return {};
@@ -158,7 +158,7 @@
     Actions.push_back(ReadReport{});
   }
   if (m_JournalDirty) {
-    // Orders placed meanwhile are not in the journal yet; they wait.
+    // Orders placed during the write are not in the journal yet; they wait.
     append(Actions, requestJournalWrite());
     return Actions;
   }
@@ -178,8 +178,8 @@
 }
 
 EngineActions EngineOrders::journalFailed(TimePoint) {
-  // Whether it took effect is not known; an order that was not confirmed in
-  // the journal is never sent. tick() tries again.
+  // Whether the write took effect is not known; an order that is not confirmed
+  // in the journal is never sent. tick() tries again.
   m_JournalWriteInFlight = false;
   m_JournalDirty = true;
   return {};
@@ -199,7 +199,7 @@
                            const EngineReport &Report, TimePoint AsOf) const {
   if (m_Opts.m_ChecksTokens)
     return Report.m_HighestToken >= Pending.m_Order.m_Token;
-  // Without tokens only time rules out that the order still arrives.
+  // Without tokens, only time rules out that the order still arrives.
   return Pending.m_EndedAt && AsOf > *Pending.m_EndedAt + m_Opts.m_OrderLife;
 }
 
@@ -212,7 +212,7 @@
     return {RaiseToken{Mine}};
   if (!m_Opts.m_ChecksTokens && !m_JournalFenced)
     return {};
-  // Reports may overtake each other; an older one says nothing new.
+  // Reports may overtake each other; an older one adds nothing.
   if (m_LastReport && AsOf < *m_LastReport)
     return {};
   m_LastReport = AsOf;
@@ -236,8 +236,8 @@
   return Largest;
 }
 
-/// The ledger is rebuilt: what the engine holds, plus what pending orders may
-/// still add. Pending unloads take nothing away until they are seen.
+/// Rebuilds the ledger from what the engine holds and what pending orders may
+/// still add. Pending unloads free no memory until a report shows them.
 void EngineOrders::adopt(const EngineReport &Report) {
   m_Ledger =
       MemoryLedger(m_Opts.m_Capacity, reserveToCount(Report.m_KvReserve));
@@ -284,7 +284,7 @@
   return {ReadReport{}};
 }
 
-/// Nothing is on its way, so the report is not expected to change.
+/// Whether nothing is under way, so the report is not expected to change.
 bool EngineOrders::quiet() const {
   if (!m_Ready || !m_Pending.empty() || m_JournalDirty)
     return false;
@@ -310,7 +310,7 @@
   if (!m_Opts.m_ChecksTokens && m_JournalDirty && !m_JournalWriteInFlight)
     append(Actions, requestJournalWrite());
   for (auto &[Id, Pending] : m_Pending) {
-    // A token makes the second copy harmless, so a lost order is sent again.
+    // The token makes a second copy harmless, so a lost order is sent again.
     if (!m_Opts.m_ChecksTokens || Pending.m_Stage != Stage::Ended)
       continue;
     Pending.m_Stage = Stage::Sending;
--- a/packages/decisions/process/Evacuations.h
+++ b/packages/decisions/process/Evacuations.h
@@ -1,5 +1,5 @@
 /// \file
-/// Data centres whose upstreams are to get no requests.
+/// The data centres whose upstreams must get no requests.
 #ifndef HAVENSTAIR_DECISIONS_PROCESS_EVACUATIONS_H
 #define HAVENSTAIR_DECISIONS_PROCESS_EVACUATIONS_H
 
@@ -9,13 +9,14 @@
 
 namespace havenstair {
 
-/// What operators have asked for, as of one revision of the platform's store.
+/// What operators have requested, as of one revision of the platform's store.
 struct Evacuations {
   std::uint64_t m_Revision = 0;
   std::set<DataCentreName> m_DataCentres;
 
   bool operator==(const Evacuations &) const = default;
 
+  /// Whether \p DataCentre is evacuated.
   bool contains(const DataCentreName &DataCentre) const {
     return m_DataCentres.contains(DataCentre);
   }
--- a/packages/decisions/process/FailureTracker.h
+++ b/packages/decisions/process/FailureTracker.h
@@ -1,5 +1,5 @@
 /// \file
-/// How often each upstream fails requests, from what callers' requests met.
+/// Tracks how often each upstream fails callers' requests.
 #ifndef HAVENSTAIR_DECISIONS_PROCESS_FAILURETRACKER_H
 #define HAVENSTAIR_DECISIONS_PROCESS_FAILURETRACKER_H
 
@@ -9,28 +9,35 @@
 
 namespace havenstair {
 
-/// Failure rates as weighted means. They fade with time, so that an upstream
-/// which recordFailure is tried again: health checks may lie, requests do not.
+/// Keeps failure rates as weighted means. They decay with time, so that an
+/// upstream which failed is tried again. They come from requests, as health
+/// checks may report a broken upstream as well.
 class FailureTracker {
 public:
   struct Options {
-    double m_Weight = 0.25;      ///< Of one outcome.
-    Duration m_HalfLife = 3s;    ///< Of a rate without new outcomes.
-    double m_Unreachable = 0.95; ///< Rate after a connection that never came.
+    /// Weight of one outcome in the mean.
+    double m_Weight = 0.25;
+    /// Half-life of a rate without new outcomes.
+    Duration m_HalfLife = 3s;
+    /// Least rate after a failed attempt to connect.
+    double m_Unreachable = 0.95;
   };
 
   FailureTracker() : FailureTracker(Options{}) {}
   explicit FailureTracker(Options Opts) : m_Opts(Opts) {}
 
+  /// Records a request that succeeded.
   void recordSuccess(const InstanceId &At, TimePoint Now);
+  /// Records a request that failed.
   void recordFailure(const InstanceId &At, TimePoint Now);
-  /// Nothing came back at all; others find the same.
+  /// Records that the connection failed; others would fail as well.
   void recordUnreachable(const InstanceId &At, TimePoint Now);
-  /// From 0 to 1.
+  /// Failure rate from 0 to 1; 0 for an unknown upstream.
   double rate(const InstanceId &At, TimePoint Now) const;
   void forget(const InstanceId &At) { m_Entries.erase(At); }
 
 private:
+  /// A rate as of m_At.
   struct Entry {
     double m_Rate = 0;
     TimePoint m_At{};
--- a/packages/decisions/process/FleetTopology.cpp
+++ b/packages/decisions/process/FleetTopology.cpp
@@ -8,14 +8,15 @@
 
 namespace {
 
-/// Boxes come in kinds whose links and processors lie further apart than this.
+/// Boxes come in classes of machines whose network and processors differ by
+/// more than this factor.
 constexpr double MuchStrongerFactor = 2;
 
 bool muchStronger(double Capacity, double Than) {
   return Capacity >= MuchStrongerFactor * Than;
 }
 
-/// A relay as a leaf looks at it; the greatest is the most preferred.
+/// A relay as a leaf ranks it; the greatest is the most preferred.
 struct Candidate {
   bool m_Strong = false;
   std::uint64_t m_Hash = 0;
@@ -94,10 +95,10 @@
                      });
 }
 
-/// Leaves spread over the strong relays of their data centre, and go to weak
-/// ones when these are gone: a relay as small as a leaf takes as long for what
-/// it passes on, and the leaf waits twice. One relay elsewhere is for the time
-/// when all of these are gone.
+/// Spreads leaves over the strong relays of their data centre, with the weak
+/// ones as a fallback: a relay as small as a leaf takes as long as the leaf for
+/// what it forwards, so the leaf would wait twice. One relay of another data
+/// centre is for the case that all of these are gone.
 std::vector<BoxName> FleetTopology::leafLinks() const {
   double Strongest = 0;
   for (const FleetMember &Each : m_Others)
--- a/packages/decisions/process/FleetTopology.h
+++ b/packages/decisions/process/FleetTopology.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which boxes of a fleet are linked to which.
+/// Decides which boxes of a fleet are linked to each other.
 /// See docs/design/fleet.md.
 #ifndef HAVENSTAIR_DECISIONS_PROCESS_FLEETTOPOLOGY_H
 #define HAVENSTAIR_DECISIONS_PROCESS_FLEETTOPOLOGY_H
@@ -17,15 +17,16 @@
 struct FleetMember {
   BoxName m_Box;
   DataCentreName m_DataCentre;
-  double m_Capacity = 1; ///< Share of a core.
+  /// Share of a processor core that the box may use.
+  double m_Capacity = 1;
 
   bool operator==(const FleetMember &) const = default;
 };
 
-/// A tree of two levels: relays are linked to each other, every other box (a
-/// leaf) is linked to the relays of its data centre and talks to one of them.
-/// In a small fleet all boxes are relays. Every box that knows the same members
-/// and the same order giver comes to the same relays.
+/// A tree of two levels: relays are linked to each other, and every other box
+/// (a leaf) is linked to the relays of its data centre and talks to one of
+/// them. In a small fleet all boxes are relays. Boxes that know the same
+/// members and the same leader compute the same relays.
 class FleetTopology {
 public:
   struct Options {
@@ -38,24 +39,25 @@
       : FleetTopology(std::move(Self), Options{}) {}
   FleetTopology(FleetMember Self, Options Opts);
 
-  /// The other boxes that are known now.
+  /// Sets the other boxes that are known now.
   void setMembers(std::vector<FleetMember> Others);
-  /// The box that gives orders stays a relay while it is setMembers, so that a
-  /// stronger box that joins does not end its turn. \returns whether that
-  /// changes the relays.
+  /// Sets the box that gives orders. It stays a relay while it is listed, so
+  /// that a stronger box that joins does not end its leadership. \returns
+  /// whether that changes the relays.
   bool setLeader(const BoxName &Leader);
 
-  /// All boxes are relays.
+  /// Whether all boxes are relays because the fleet is small.
   bool flat() const { return m_Flat; }
+  /// Whether \p Box is a relay.
   bool isRelay(const BoxName &Box) const { return m_Relays.contains(Box); }
-  /// Whether this box is one.
+  /// Whether this box is a relay.
   bool relay() const { return isRelay(m_Self.m_Box); }
   const std::set<BoxName> &relays() const { return m_Relays; }
-  /// Those of \p DataCentre, or all where it has no box.
+  /// The relays of \p DataCentre, or all relays when it has none.
   const std::set<BoxName> &relaysOf(const DataCentreName &DataCentre) const;
-  /// Whether \p Box is of a stronger kind than this one.
+  /// Whether \p Box has much more capacity than this box.
   bool stronger(const BoxName &Box) const;
-  /// The boxes to link to; of a leaf the most preferred first.
+  /// The boxes to link to; for a leaf the most preferred first.
   const std::vector<BoxName> &links() const { return m_Links; }
 
 private:
@@ -65,6 +67,7 @@
   FleetMember m_Self;
   Options m_Opts;
   std::vector<FleetMember> m_Others;
+  /// The box that gives orders; empty when it is not known.
   BoxName m_Leader;
   bool m_Flat = true;
   std::set<BoxName> m_Relays;
--- a/packages/decisions/process/GroupLimiter.cpp
+++ b/packages/decisions/process/GroupLimiter.cpp
@@ -25,18 +25,18 @@
 
 GroupLimiter::GroupLimiter(Options Opts) : m_Opts(std::move(Opts)) {}
 
-void GroupLimiter::refill(Bucket &Of, double Rate, double Least,
+void GroupLimiter::refill(Bucket &Target, double Rate, double Least,
                           TimePoint Now) const {
   const double Most = std::max(Least, Rate * m_Opts.m_BurstSeconds);
-  if (!Of.m_Started) {
-    Of.m_Started = true;
-    Of.m_Level = Most;
-    Of.m_Filled = Now;
+  if (!Target.m_Started) {
+    Target.m_Started = true;
+    Target.m_Level = Most;
+    Target.m_Filled = Now;
     return;
   }
-  const double Seconds = inSeconds(Now - Of.m_Filled);
-  Of.m_Level = std::min(Most, Of.m_Level + Rate * Seconds);
-  Of.m_Filled = Now;
+  const double Seconds = inSeconds(Now - Target.m_Filled);
+  Target.m_Level = std::min(Most, Target.m_Level + Rate * Seconds);
+  Target.m_Filled = Now;
 }
 
 std::optional<Failure> GroupLimiter::tryAdmit(const GroupRow &Row,
@@ -46,7 +46,8 @@
   const double TokenRate = Limits.m_TokensPerSecond / m_Share.m_Boxes;
   if (TokenRate > 0) {
     refill(Used.m_Tokens, TokenRate, 0, Now);
-    // Tokens are charged when they are known; a debt is paid off first.
+    // Tokens are charged once their number is known, so the level may be
+    // negative.
     if (Used.m_Tokens.m_Level < 0)
       return rateLimited(timeToEarn(-Used.m_Tokens.m_Level, TokenRate));
   }
--- a/packages/decisions/process/GroupLimiter.h
+++ b/packages/decisions/process/GroupLimiter.h
@@ -13,51 +13,59 @@
 
 namespace havenstair {
 
-/// This box's place among the boxes that share the limits.
+/// This box's share among the boxes that divide the limits.
 struct LimitShare {
-  int m_Index = 0; ///< Position of this box in the sorted list of boxes.
+  /// Index of this box in the sorted list of boxes.
+  int m_Index = 0;
   int m_Boxes = 1; ///< Number of boxes.
 
   bool operator==(const LimitShare &) const = default;
 };
 
-/// Part of a whole concurrency limit that falls to one box: the rest of the
-/// division goes to the first boxes, so the parts add up to \p Whole.
+/// The part of the concurrency limit \p Whole that this box gets. The remainder
+/// of the division goes to the first boxes, so the parts add up to \p Whole.
 int concurrencyShare(int Whole, const LimitShare &Share);
 
-/// Token buckets and counts of one box.
+/// Token buckets and counts of running requests of one box, by group.
 class GroupLimiter {
 public:
   struct Options {
-    /// Seconds of the rate that a bucket can hold.
+    /// A bucket holds the rate times this many seconds.
     double m_BurstSeconds = 1;
   };
 
   explicit GroupLimiter(Options Opts);
 
+  /// Changes the share; applies to requests admitted afterwards.
   void setShare(const LimitShare &Share) { m_Share = Share; }
   const LimitShare &share() const { return m_Share; }
 
-  /// Takes one request of \p Row into account, or says why its rates forbid
-  /// it. Concurrency is counted here and judged by the group's home.
+  /// Counts one request of \p Row. \returns nothing when its group's rates
+  /// allow it, else the refusal with the time after which to retry. Concurrency
+  /// is only counted here; the group's home enforces its limit.
   std::optional<Failure> tryAdmit(const GroupRow &Row, TimePoint Now);
-  /// A request that was admitted ended, after \p Tokens were generated.
+  /// Records that an admitted request ended after \p Tokens were generated.
   void finished(const GroupName &Group, double Tokens);
+  /// Admitted requests of \p Group that have not ended.
   int running(const GroupName &Group) const;
 
 private:
+  /// A token bucket; its level is negative while generated tokens are owed.
   struct Bucket {
     double m_Level = 0;
     TimePoint m_Filled;
     bool m_Started = false;
   };
+  /// What one group uses.
   struct Usage {
     Bucket m_Requests;
     Bucket m_Tokens;
     int m_Running = 0;
   };
 
-  void refill(Bucket &Of, double Rate, double Least, TimePoint Now) const;
+  /// Fills \p Target at \p Rate per second, up to the burst or \p Least,
+  /// whichever is more.
+  void refill(Bucket &Target, double Rate, double Least, TimePoint Now) const;
 
   Options m_Opts;
   LimitShare m_Share;
--- a/packages/decisions/process/IdempotencyRegistry.cpp
+++ b/packages/decisions/process/IdempotencyRegistry.cpp
@@ -9,6 +9,7 @@
 namespace {
 
 constexpr std::size_t UuidLength = 36;
+/// Index of the digit that holds the version of a UUID.
 constexpr std::size_t VersionPosition = 14;
 
 WallMillis toMillis(Duration Time) {
@@ -108,7 +109,7 @@
   if (Known == nullptr)
     return;
   Known->m_Since = Now;
-  // Without room for the answer only the fact that it ran is kept.
+  // Without space for the answer, only the fact that the request ran is kept.
   if (m_StoredBytes + Answer.m_Body.size() > m_Opts.m_MaxStoredBytes) {
     Known->m_State = State::Unknown;
     return;
@@ -129,7 +130,7 @@
 void IdempotencyRegistry::expire(TimePoint Now) {
   std::erase_if(m_Records, [&](const auto &Item) {
     const Record &Kept = Item.second;
-    // Twice the skew on top: the caller's key may look younger than it is.
+    // Twice the skew is added as the caller's key may look younger than it is.
     const Duration Keep = m_Opts.m_Retention + 2 * m_Opts.m_ClockSkew;
     if (Kept.m_State == State::Running || Now < Kept.m_Since + Keep)
       return false;
--- a/packages/decisions/process/IncarnationTracker.h
+++ b/packages/decisions/process/IncarnationTracker.h
@@ -1,5 +1,5 @@
 /// \file
-/// The newest start seen of each server.
+/// Tracks the newest incarnation known of each upstream.
 #ifndef HAVENSTAIR_DECISIONS_PROCESS_INCARNATIONTRACKER_H
 #define HAVENSTAIR_DECISIONS_PROCESS_INCARNATIONTRACKER_H
 
@@ -8,25 +8,26 @@
 
 namespace havenstair {
 
-/// Words about servers come late and by several ways. Once a start has been
-/// heard of, nothing that an earlier one of the same name said is believed.
-/// Who tells no birth is judged by name alone, so it is always believed.
+/// Messages about upstreams come late and over several paths. Once an
+/// incarnation of an upstream is known, what an earlier one reported is
+/// ignored. An upstream that reports no start time is known by its name alone,
+/// so its messages always count.
 class IncarnationTracker {
 public:
-  /// Whether no later start than \p Incarnation is known.
+  /// Whether no later incarnation than \p Incarnation is known.
   bool isCurrent(const UpstreamLife &Incarnation) const {
     return Incarnation.m_Born == 0 ||
            Incarnation.m_Born >= newest(Incarnation.m_Id);
   }
-  /// \p Incarnation was heard of. \returns whether the server has started again
-  /// since it was last heard of.
+  /// Records that \p Incarnation exists. \returns whether the upstream has
+  /// restarted since the last record.
   bool record(const UpstreamLife &Incarnation);
-  /// 0 when none was told.
+  /// Start time of the newest incarnation; 0 when none is known.
   UpstreamBirth newest(const InstanceId &Id) const;
 
 private:
-  /// Never forgotten: a word may come at any time, and an entry takes less
-  /// than 100 bytes.
+  /// Never pruned: a message may come at any time, and an entry takes less than
+  /// 100 bytes.
   std::map<InstanceId, UpstreamBirth> m_Newest;
 };
 
--- a/packages/decisions/process/LateOrders.h
+++ b/packages/decisions/process/LateOrders.h
@@ -1,5 +1,5 @@
 /// \file
-/// Orders without an answer that an engine may still carry out.
+/// Tracks orders without an answer, which an engine may still carry out.
 /// See docs/design/lives.md.
 #ifndef HAVENSTAIR_DECISIONS_PROCESS_LATEORDERS_H
 #define HAVENSTAIR_DECISIONS_PROCESS_LATEORDERS_H
@@ -12,27 +12,30 @@
 
 namespace havenstair {
 
-/// An order that got no answer may arrive later. The start of an engine that it
-/// was meant for is guarded by its count: once that has moved on, the order
-/// does nothing. A later start under the same name counts from 0 again, so that
-/// the order may fit once more. It is known here until its longest lateness is
-/// over.
+/// An order without an answer may still arrive. The incarnation of the engine
+/// that it was meant for is protected by its order count: once the count has
+/// moved on, the order has no effect. A later incarnation under the same name
+/// counts from 0 again, so the order may match once more. It is tracked here
+/// until it is too old to arrive.
 class LateOrders {
 public:
-  /// A call with \p Order, which expects \p Expected orders before it, ended
-  /// without an answer.
+  /// Records that a call with \p Order, which expects the order count \p
+  /// Expected, ended without an answer.
   void add(const ResidencyOrder &Order, std::uint64_t Expected, TimePoint Now);
   /// Forgets calls that ended longer than \p Life ago.
   void expire(Duration Life, TimePoint Now);
-  /// Loads that a later start may carry out.
+  /// Loads that a later incarnation may carry out.
   std::set<ResidencyOrder> loads() const { return loads(0); }
-  /// Loads that a start which has taken \p Count orders may still carry out.
+  /// Loads that an incarnation whose order count is \p Count may still carry
+  /// out.
   std::set<ResidencyOrder> loads(std::uint64_t Count) const;
-  /// Those of them that load a model.
+  /// Number of loads() that load a model, not an adapter.
   std::size_t modelLoads() const;
   bool empty() const { return m_Orders.empty(); }
 
 private:
+  /// An order with the count that it expects and the time at which its call
+  /// ended.
   struct LateOrder {
     ResidencyOrder m_Order;
     std::uint64_t m_Expected = 0;
--- a/packages/decisions/process/LatencyModel.cpp
+++ b/packages/decisions/process/LatencyModel.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// One observation moves a factor by no more than this.
+/// One observation counts as no more than this many times faster or slower.
 constexpr double MaxRatio = 4;
 constexpr double MinSlowness = 0.5;
 constexpr double MaxSlowness = 10;
@@ -39,7 +39,8 @@
   double &Slowness = m_Slowness.try_emplace(At, 1).first->second;
   Slowness = std::clamp(Slowness * std::pow(Ratio, m_Opts.m_EngineWeight),
                         MinSlowness, MaxSlowness);
-  // What the work ahead cost says nothing about this model.
+  // When most of the time was spent on other work, it shows nothing about this
+  // model.
   if (Model.empty() || WorkMs < PendingMs)
     return;
   double &TokenMs =
--- a/packages/decisions/process/LeaderView.cpp
+++ b/packages/decisions/process/LeaderView.cpp
@@ -17,10 +17,10 @@
   observeTerm(Known, Now);
 }
 
-void LeaderView::observeTerm(const LeaderTerm &Leader, TimePoint Now) {
-  if (Leader.m_Token <= m_Leader.m_Token)
+void LeaderView::observeTerm(const LeaderTerm &Term, TimePoint Now) {
+  if (Term.m_Token <= m_Leader.m_Token)
     return;
-  m_Leader = Leader;
+  m_Leader = Term;
   m_LeaderSince = Now;
 }
 
@@ -41,7 +41,7 @@
     return false;
   const auto Count =
       std::count_if(m_Reports.begin(), m_Reports.end(), [&](const auto &Each) {
-        // After a cut, links bring first what was said before it.
+        // When a partition ends, links first deliver what was sent before it.
         return Now - Each.second.m_SentAfter <= m_Opts.m_ReportLifetime &&
                m_Others.contains(Each.first) && Each.second.m_Known == m_Leader;
       });
--- a/packages/decisions/process/LeaderView.h
+++ b/packages/decisions/process/LeaderView.h
@@ -1,6 +1,6 @@
 /// \file
-/// Who gives orders, as the boxes tell each other.
-/// See docs/design/orders.md.
+/// Tracks which process leads, that is gives orders to engines, from the boxes'
+/// reports to each other. See docs/design/orders.md.
 #ifndef HAVENSTAIR_DECISIONS_PROCESS_LEADERVIEW_H
 #define HAVENSTAIR_DECISIONS_PROCESS_LEADERVIEW_H
 
@@ -11,31 +11,32 @@
 
 namespace havenstair {
 
-/// The process that gives orders and the fencing token under which it does.
-/// The word with the highest token is the newest.
+/// The process that leads and the fencing token under which it does. Of several
+/// terms the one with the highest token is the newest.
 struct LeaderTerm {
   FencingToken m_Token = 0;
-  BoxName m_Box; ///< Empty when nobody is observeTerm.
+  /// Empty when no leader is known.
+  BoxName m_Box;
 
   bool operator==(const LeaderTerm &) const = default;
 };
 
 /// A leader that cannot reach the store goes on while a majority of the boxes
-/// vouches for it; another box replaces it only when it hears a majority and
-/// not the leader. Any two majorities share a box, which tells the one of the
-/// other long before the first order of the new leader.
+/// confirms it. Another box replaces it only when it receives reports from a
+/// majority but not from the leader. Any two majorities share a box, which
+/// reports the new leader to the old one long before the new one's first order.
 class LeaderView {
 public:
   struct Options {
-    /// How long the word of a box counts: boxes tell four times a second, and
-    /// what they say echoes what they receiveReport up to a quarter of a second
-    /// before. Long before the first order of another leader, 3.3 s after its
-    /// claim.
+    /// How long a report of a box counts: boxes send four times a second, and a
+    /// report echoes what the box received up to a quarter of a second before.
+    /// This is well below the time from a new leader's claim to its first
+    /// order, 3.3 s.
     Duration m_ReportLifetime = 1s;
-    /// A leader that says nothing for this long may be replaced.
+    /// A leader that sends nothing for this long may be replaced.
     Duration m_SilenceTimeout = 1200ms;
-    /// After a pause of this process, words that waited in its sockets are
-    /// dropped for this long.
+    /// For this long after a pause of this process, reports are dropped: they
+    /// waited in its sockets.
     Duration m_DropAfterPause = 300ms;
   };
 
@@ -43,37 +44,43 @@
   LeaderView(BoxName Self, Options Opts)
       : m_Self(std::move(Self)), m_Opts(Opts) {}
 
-  /// \p From said, no earlier than \p SentAfter, whom it knows, and whether it
-  /// gives orders itself.
+  /// Records that \p From, no earlier than \p SentAfter, reported the term \p
+  /// Known and whether it leads itself.
   void receiveReport(const BoxName &From, const LeaderTerm &Known, bool Leading,
                      TimePoint SentAfter, TimePoint Now);
-  /// What the store or this box itself says.
-  void observeTerm(const LeaderTerm &Leader, TimePoint Now);
-  /// The boxes whose majority decides, without this one.
+  /// Records a term that the store or this box itself reports. Ignored unless
+  /// its token is the highest so far.
+  void observeTerm(const LeaderTerm &Term, TimePoint Now);
+  /// Sets the boxes whose majority decides, without this one.
   void setMembers(std::set<BoxName> Others);
-  /// This process stood still until \p Now.
+  /// Records that this process did not run until \p Now, so earlier reports
+  /// count no longer.
   void onPause(TimePoint Now);
   void forget(const BoxName &Box) { m_Reports.erase(Box); }
 
+  /// The newest term known; its box is empty when none is.
   const LeaderTerm &leader() const { return m_Leader; }
-  /// Whether a majority, with this box, knows this box as the leader.
+  /// Whether a majority, including this box, reports this box as the leader.
   bool confirmedByMajority(TimePoint Now) const;
-  /// Whether a majority, with this box, has been receiveReport lately.
+  /// Whether a majority, including this box, has sent reports lately.
   bool majorityReachable(TimePoint Now) const;
-  /// Whether the observeTerm leader has been receiveReport lately and gives
-  /// orders, or is so new that it cannot have been receiveReport.
+  /// Whether the known leader has reported lately that it leads, or is so new
+  /// that no report of it can have come yet.
   bool leaderActive(TimePoint Now) const;
 
 private:
+  /// The last report of a box.
   struct PeerReport {
     LeaderTerm m_Known;
     bool m_Leading = false;
-    TimePoint m_ReceivedAt{}; ///< When it came.
-    TimePoint m_SentAfter{};  ///< It may have been held up since then.
+    /// When it was received.
+    TimePoint m_ReceivedAt{};
+    /// It was sent no earlier than this; it may have been delayed since.
+    TimePoint m_SentAfter{};
   };
 
-  bool fresh(const PeerReport &Of, TimePoint Now) const {
-    return Now - Of.m_ReceivedAt <= m_Opts.m_ReportLifetime;
+  bool fresh(const PeerReport &Report, TimePoint Now) const {
+    return Now - Report.m_ReceivedAt <= m_Opts.m_ReportLifetime;
   }
   std::size_t majority() const { return (m_Others.size() + 1) / 2 + 1; }
 
@@ -83,6 +90,7 @@
   TimePoint m_LeaderSince{};
   std::set<BoxName> m_Others;
   std::map<BoxName, PeerReport> m_Reports;
+  /// Reports are dropped until then; see onPause().
   TimePoint m_DropUntil{};
 };
 
--- a/packages/decisions/process/LoadRateLimiter.h
+++ b/packages/decisions/process/LoadRateLimiter.h
@@ -1,5 +1,5 @@
 /// \file
-/// The bound on loads that begin from the store of weights.
+/// Limits the rate at which loads from the store of weights begin.
 #ifndef HAVENSTAIR_DECISIONS_PROCESS_LOADRATELIMITER_H
 #define HAVENSTAIR_DECISIONS_PROCESS_LOADRATELIMITER_H
 
@@ -11,18 +11,22 @@
 
 namespace havenstair {
 
-/// In any window, no more loads begin than `LoadsPerS x Window x Overage +
-/// Slack`. When a load begins is not known: at any time between the sending of
-/// its order and the word that settles it. So an order counts from its sending
-/// until a window after it was onSettled. A new order giver assumes that the
-/// one before it has used up a whole window just before it stopped.
+/// In any window, no more loads begin than `m_LoadsPerS x m_Window x m_Overage
+/// + m_Slack`. It is not known when a load begins: at any time between the
+/// sending of its order and the message that settles the order. So an order
+/// counts from its sending until one window after it was settled. A new leader
+/// assumes that its predecessor used up a whole window just before it stopped.
 class LoadRateLimiter {
 public:
   struct Options {
+    /// Loads per second.
     double m_LoadsPerS = 1;
+    /// Length of the sliding window over which loads are counted.
     Duration m_Window = 5s;
-    double m_Overage = 1; ///< Factor by which the bound may be passed.
-    /// Loads beyond it; the platform allows three, one is kept in hand.
+    /// Factor by which the bound may be exceeded.
+    double m_Overage = 1;
+    /// Loads beyond the bound; the platform allows three, one is kept in
+    /// reserve.
     std::size_t m_Slack = 2;
 
     bool operator==(const Options &) const = default;
@@ -30,34 +34,40 @@
 
   LoadRateLimiter() = default;
 
+  /// Changes the limit; loads that were counted before still count.
   void configure(Options Opts) { m_Opts = Opts; }
-  /// Another order giver gave its last order before \p Until.
+  /// Assumes that the former leader, which gave its last order before \p Until,
+  /// used up a whole window then.
   void assumeFullWindow(TimePoint Until) { m_FullWindowUntil = Until; }
-  /// Whether a whole window of another order giver's loads is assumed.
+  /// Whether a whole window of the former leader's loads is assumed.
   bool assumesFullWindow() const { return m_FullWindowUntil.has_value(); }
-  /// Of the other order giver's loads, no more than \p Count may have begun in
-  /// the window that ends at \p Now.
+  /// Ends that assumption: no more than \p Count loads of the former leader may
+  /// have begun in the window that ends at \p Now.
   void setFormerLoads(std::size_t Count, TimePoint Now);
-  /// Loads that may be onOrdered now.
+  /// Number of loads that may be ordered at \p Now.
   std::size_t available(TimePoint Now);
-  /// A load from the store is onOrdered from \p Engine, which takes one at a
-  /// time.
+  /// Records that a load from the store is ordered on \p Engine, which takes
+  /// one order at a time.
   void onOrdered(const InstanceId &Engine) { m_Open.insert(Engine); }
-  /// \p Count loads that were onOrdered may begin at any time before \p Until.
+  /// Records that \p Count ordered loads may begin at any time before \p Until.
   void addPossibleStarts(std::size_t Count, TimePoint Until) {
     for (std::size_t Load = 0; Load < Count; ++Load)
       m_Starts.insert(Until);
   }
-  /// The load of \p Engine began before \p Until, or never will. Nothing
-  /// happens when none is open.
+  /// Records that the load of \p Engine began before \p Until or never will.
+  /// Does nothing when none is open.
   void onSettled(const InstanceId &Engine, TimePoint Until);
 
 private:
+  /// Most loads in one window; at least 1.
   std::size_t capacity() const;
 
   Options m_Opts;
+  /// Engines with a load that is ordered but not settled.
   std::set<InstanceId> m_Open;
+  /// Latest possible starts of settled loads.
   std::multiset<TimePoint> m_Starts;
+  /// When the window assumed to be used up ended; empty when none is assumed.
   std::optional<TimePoint> m_FullWindowUntil;
 };
 
--- a/packages/decisions/process/LoadTracker.cpp
+++ b/packages/decisions/process/LoadTracker.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// Work that other boxes should know of before they choose.
+/// Changes of pending work from this size on are published at once, before
+/// other boxes choose an upstream.
 constexpr double MinPublishedChangeMs = 25;
 
 } // namespace
@@ -30,7 +31,7 @@
     return;
   InstanceLoad &Load = Found->second;
   Load.m_Tokens = std::max(0.0, Load.m_Tokens - Tokens);
-  // Sums of fractions leave a rest; nothing runs, so nothing is left.
+  // Sums of fractions leave a remainder; with nothing running it is dropped.
   if (--Load.m_Running <= 0)
     m_Own.erase(Found);
 }
@@ -52,7 +53,7 @@
 void LoadTracker::receiveChanges(const BoxName &Box,
                                  const InstanceLoads &Changes, TimePoint Now) {
   const auto Found = m_Reports.find(Box);
-  // Changes mean nothing without what they change.
+  // Changes cannot be applied without the loads that they change.
   if (Found == m_Reports.end())
     return;
   Found->second.m_At = Now;
@@ -62,18 +63,18 @@
 void LoadTracker::receiveAggregate(const BoxName &Box,
                                    const InstanceLoads &Changes, bool Whole,
                                    TimePoint Now) {
-  PeerReport &Of = m_Reports[Box];
+  PeerReport &Report = m_Reports[Box];
   if (Whole)
-    Of.m_Loads.clear();
-  Of.m_At = Now;
-  Of.m_IncludesOwn = true;
-  apply(Changes, Of.m_Loads);
+    Report.m_Loads.clear();
+  Report.m_At = Now;
+  Report.m_IncludesOwn = true;
+  apply(Changes, Report.m_Loads);
 }
 
-void LoadTracker::onRestart(const InstanceId &Of) {
-  m_Own.erase(Of);
-  for (auto &[Box, PeerReport] : m_Reports)
-    PeerReport.m_Loads.erase(Of);
+void LoadTracker::onRestart(const InstanceId &Upstream) {
+  m_Own.erase(Upstream);
+  for (auto &[Box, Report] : m_Reports)
+    Report.m_Loads.erase(Upstream);
 }
 
 InstanceLoads LoadTracker::takeChanges() {
@@ -92,32 +93,34 @@
   return Changes;
 }
 
-/// What runs there through other boxes, by the word \p Of. Where that was said
-/// before it could count what this box receiveLoads last, the rest would be
-/// negative.
-InstanceLoad LoadTracker::loadFromOthers(const PeerReport &Of,
+/// Load of \p Id through other boxes, by \p Report. An aggregate that was sent
+/// before it could include what this box published last would leave a negative
+/// rest; the load is then 0.
+InstanceLoad LoadTracker::loadFromOthers(const PeerReport &Report,
                                          const InstanceId &Id) const {
-  const auto Found = Of.m_Loads.find(Id);
-  if (Found == Of.m_Loads.end())
+  const auto Found = Report.m_Loads.find(Id);
+  if (Found == Report.m_Loads.end())
     return {};
   InstanceLoad Result = Found->second;
   const auto Own = m_Published.find(Id);
-  if (!Of.m_IncludesOwn || Own == m_Published.end())
+  if (!Report.m_IncludesOwn || Own == m_Published.end())
     return Result;
-  const InstanceLoad &Told = Own->second;
-  Result.m_Running = std::max(0, Result.m_Running - Told.m_Running);
-  Result.m_PendingMs = std::max(0.0, Result.m_PendingMs - Told.m_PendingMs);
-  Result.m_Tokens = std::max(0.0, Result.m_Tokens - Told.m_Tokens);
+  const InstanceLoad &Published = Own->second;
+  Result.m_Running = std::max(0, Result.m_Running - Published.m_Running);
+  Result.m_PendingMs =
+      std::max(0.0, Result.m_PendingMs - Published.m_PendingMs);
+  Result.m_Tokens = std::max(0.0, Result.m_Tokens - Published.m_Tokens);
   return Result;
 }
 
-InstanceLoad LoadTracker::load(const InstanceId &Of, TimePoint Now) const {
+InstanceLoad LoadTracker::load(const InstanceId &Upstream,
+                               TimePoint Now) const {
   InstanceLoad Sum;
-  if (const auto Own = m_Own.find(Of); Own != m_Own.end())
+  if (const auto Own = m_Own.find(Upstream); Own != m_Own.end())
     Sum += Own->second;
-  for (const auto &[Box, PeerReport] : m_Reports)
-    if (Now - PeerReport.m_At <= ReportLifetime)
-      Sum += loadFromOthers(PeerReport, Of);
+  for (const auto &[Box, Report] : m_Reports)
+    if (Now - Report.m_At <= ReportLifetime)
+      Sum += loadFromOthers(Report, Upstream);
   return Sum;
 }
 
@@ -125,9 +128,9 @@
 LoadTracker::sum(const std::function<bool(const BoxName &)> &Counts,
                  TimePoint Now) const {
   InstanceLoads Sum = m_Own;
-  for (const auto &[Box, PeerReport] : m_Reports)
-    if (Now - PeerReport.m_At <= ReportLifetime && Counts(Box))
-      for (const auto &[Id, Load] : PeerReport.m_Loads)
+  for (const auto &[Box, Report] : m_Reports)
+    if (Now - Report.m_At <= ReportLifetime && Counts(Box))
+      for (const auto &[Id, Load] : Report.m_Loads)
         Sum[Id] += Load;
   return Sum;
 }
--- a/packages/decisions/process/LoadTracker.h
+++ b/packages/decisions/process/LoadTracker.h
@@ -1,5 +1,5 @@
 /// \file
-/// Work that runs or waits on each upstream, from all boxes.
+/// Tracks the work that runs or waits on each upstream, from all boxes.
 #ifndef HAVENSTAIR_DECISIONS_PROCESS_LOADTRACKER_H
 #define HAVENSTAIR_DECISIONS_PROCESS_LOADTRACKER_H
 
@@ -13,9 +13,12 @@
 
 /// Load of one upstream through one box, or the sum over boxes.
 struct InstanceLoad {
-  int m_Running = 0;      ///< Requests onSent and not yet onEnded.
-  double m_PendingMs = 0; ///< Work before the first tokens still to come.
-  double m_Tokens = 0;    ///< Tokens of prompts and answers in memory.
+  /// Requests sent and not yet ended.
+  int m_Running = 0;
+  /// Milliseconds of work before the first tokens still to come.
+  double m_PendingMs = 0;
+  /// Tokens of prompts and answers in the upstream's memory.
+  double m_Tokens = 0;
 
   bool operator==(const InstanceLoad &) const = default;
 
@@ -29,56 +32,66 @@
 
 using InstanceLoads = std::map<InstanceId, InstanceLoad>;
 
-/// Sums up what this box onSent and what the other boxes tell.
+/// Adds up the load that this box caused and the loads that other boxes report.
 class LoadTracker {
 public:
-  /// Longest time that the word of another box counts.
+  /// How long a report of another box counts.
   static constexpr Duration ReportLifetime = 2s;
 
+  /// A request of \p WorkMs of work and \p Tokens tokens was sent to \p To.
   void onSent(const InstanceId &To, double WorkMs, double Tokens);
-  /// The first token came; the work before it is done.
+  /// The first token came, so the work of \p WorkMs before it is done.
   void onFirstToken(const InstanceId &To, double WorkMs);
+  /// A request of \p Tokens tokens ended.
   void onEnded(const InstanceId &To, double Tokens);
 
-  /// What \p Box says of its own requests; replaces what it said before.
+  /// Replaces the loads that \p Box reported of its own requests.
   void receiveLoads(const BoxName &Box, InstanceLoads Loads, TimePoint Now);
-  /// What has changed of what \p Box said before.
+  /// Applies changes to the loads that \p Box reported before; ignored when it
+  /// has reported none. An empty load removes the entry.
   void receiveChanges(const BoxName &Box, const InstanceLoads &Changes,
                       TimePoint Now);
-  /// What has changed of the totals that \p Box tells, which count this box's
-  /// own loads as they were last receiveLoads; all of them when \p Whole.
+  /// Applies changes to the aggregate that \p Box reports over several boxes,
+  /// which includes this box's own loads as last published. \p Whole means that
+  /// \p Changes is the whole aggregate.
   void receiveAggregate(const BoxName &Box, const InstanceLoads &Changes,
                         bool Whole, TimePoint Now);
-  /// Changes of this box's own loads since the last call, when together they
-  /// are worth telling at once.
+  /// Changes of this box's own loads since the last call that are large enough
+  /// to publish at once.
   InstanceLoads takeChanges();
-  /// This box's own loads have been receiveLoads as a whole.
+  /// Records that all of this box's own loads have been published.
   void markAllPublished() { m_Published = m_Own; }
+  /// Forgets what \p Box reported.
   void forget(const BoxName &Box) { m_Reports.erase(Box); }
-  /// \p Of has onFirstToken again: nothing of what was onSent runs there any
-  /// more.
-  void onRestart(const InstanceId &Of);
+  /// Records that \p Upstream has restarted, so nothing that was sent to it
+  /// runs there any more.
+  void onRestart(const InstanceId &Upstream);
 
-  InstanceLoad load(const InstanceId &Of, TimePoint Now) const;
-  /// This box's own loads and what the boxes that \p Counts accepts have
-  /// receiveLoads.
+  /// Load of \p Upstream through all boxes whose reports count at \p Now.
+  InstanceLoad load(const InstanceId &Upstream, TimePoint Now) const;
+  /// This box's own loads plus those reported by the boxes that \p Counts
+  /// accepts.
   InstanceLoads sum(const std::function<bool(const BoxName &)> &Counts,
                     TimePoint Now) const;
-  /// Only what went through this box; for the other boxes.
+  /// The loads of requests through this box only, to publish to other boxes.
   const InstanceLoads &own() const { return m_Own; }
 
 private:
+  /// What another box last reported.
   struct PeerReport {
     InstanceLoads m_Loads;
     TimePoint m_At;
-    bool m_IncludesOwn = false; ///< This box's loads are among them.
+    /// Whether the loads are an aggregate that includes this box's.
+    bool m_IncludesOwn = false;
   };
 
   static void apply(const InstanceLoads &Changes, InstanceLoads &To);
-  InstanceLoad loadFromOthers(const PeerReport &Of, const InstanceId &Id) const;
+  InstanceLoad loadFromOthers(const PeerReport &Report,
+                              const InstanceId &Id) const;
 
   InstanceLoads m_Own;
-  InstanceLoads m_Published; ///< As last receiveLoads.
+  /// This box's own loads as last published.
+  InstanceLoads m_Published;
   std::map<BoxName, PeerReport> m_Reports;
 };
 
--- a/packages/decisions/process/ModelDemand.h
+++ b/packages/decisions/process/ModelDemand.h
@@ -1,5 +1,5 @@
 /// \file
-/// How much work callers ask of each model and adapter.
+/// The work that callers request of each model and adapter.
 #ifndef HAVENSTAIR_DECISIONS_PROCESS_MODELDEMAND_H
 #define HAVENSTAIR_DECISIONS_PROCESS_MODELDEMAND_H
 
@@ -10,7 +10,7 @@
 
 namespace havenstair {
 
-/// A model of a service, or an adapter of it.
+/// Names a model of a service, or an adapter of the model.
 struct ModelKey {
   std::string m_Service;
   std::string m_Model;
@@ -20,9 +20,10 @@
   bool operator==(const ModelKey &) const = default;
 };
 
-/// Requests and work over some time.
+/// Requests and work over some time, or per second.
 struct ModelDemand {
   double m_Requests = 0;
+  /// Work in milliseconds of engine time.
   double m_WorkMs = 0;
 
   bool operator==(const ModelDemand &) const = default;
--- a/tests/decisions/process/AdapterPlannerTest.cpp
+++ b/tests/decisions/process/AdapterPlannerTest.cpp
@@ -44,7 +44,8 @@
           std::vector{move("b", true, "a1")});
 }
 
-TEST_CASE("The least wanted adapter makes way for one that is waited for",
+TEST_CASE("The adapter with the lowest rate is evicted for one that requests "
+          "wait for",
           "[adapters]") {
   const EngineLedger A = ledger({"a2", "a3"});
   const std::vector<AdapterEngine> Engines{{.m_Id = "a", .m_Ledger = &A}};
@@ -54,7 +55,7 @@
           std::vector{move("a", false, "a3")});
 }
 
-TEST_CASE("An adapter that has just come is not pushed out by the next one",
+TEST_CASE("An adapter that was just loaded is not evicted for the next one",
           "[adapters]") {
   const EngineLedger A = ledger({"a2"});
   std::vector<AdapterEngine> Engines{{.m_Id = "a", .m_Ledger = &A}};
@@ -66,7 +67,7 @@
           std::vector{move("a", false, "a2")});
 }
 
-TEST_CASE("The adapter that is waited for the longest comes first",
+TEST_CASE("The adapter that requests have waited for longest is loaded first",
           "[adapters]") {
   const EngineLedger A = ledger({});
   const std::vector<AdapterEngine> Engines{{.m_Id = "a", .m_Ledger = &A}};
@@ -74,7 +75,8 @@
           std::vector{move("a", true, "a5")});
 }
 
-TEST_CASE("A wanted adapter is copied where a place is free", "[adapters]") {
+TEST_CASE("A requested adapter is copied to an engine with a free slot",
+          "[adapters]") {
   const EngineLedger A = ledger({"a1"}), B = ledger({});
   const std::vector<AdapterEngine> Engines{{.m_Id = "a", .m_Ledger = &A},
                                            {.m_Id = "b", .m_Ledger = &B}};
@@ -85,7 +87,7 @@
   REQUIRE(planAdapters(Engines, {}, Rare, spec(2), {}).empty());
 }
 
-TEST_CASE("No adapter is ordered for a model that retires or is not there",
+TEST_CASE("No adapter is loaded for a model that is retiring or not loaded",
           "[adapters]") {
   const EngineLedger A = ledger({});
   std::vector<AdapterEngine> Engines{{.m_Id = "a", .m_Ledger = &A}};
@@ -95,8 +97,9 @@
   REQUIRE(planAdapters(Engines, {{"other", "a1"}}, {}, spec(2), {}).empty());
 }
 
-TEST_CASE("Only what requests wait for may be planned, by the same worth",
-          "[adapters]") {
+TEST_CASE(
+    "Without further copies only adapters that requests wait for are planned",
+    "[adapters]") {
   const EngineLedger A = ledger({"a2", "a3"}), B = ledger({});
   const std::vector<AdapterEngine> Engines{{.m_Id = "a", .m_Ledger = &A},
                                            {.m_Id = "b", .m_Ledger = &B}};
--- a/tests/decisions/process/BackoffTest.cpp
+++ b/tests/decisions/process/BackoffTest.cpp
@@ -17,7 +17,8 @@
   REQUIRE(Waits.next() == 10ms);
 }
 
-TEST_CASE("A retry budget allows retries as a part of requests", "[retry]") {
+TEST_CASE("A retry budget allows retries as a fraction of requests",
+          "[retry]") {
   RetryBudget Budget({.m_PerRequest = 0.1, .m_Most = 2});
   REQUIRE(Budget.trySpend());
   REQUIRE(Budget.trySpend());
--- a/tests/decisions/process/BoxCensusTest.cpp
+++ b/tests/decisions/process/BoxCensusTest.cpp
@@ -4,7 +4,7 @@
 
 using namespace havenstair;
 
-TEST_CASE("A census counts boxes that were seen, and those cut off",
+TEST_CASE("A census counts listed boxes and those that left the list lately",
           "[quota]") {
   const TimePoint Start(1000s);
   BoxCensus Census;
@@ -17,7 +17,7 @@
   REQUIRE(Census.count(Start + 20s + BoxCensus::Retention + 1s) == 3);
 }
 
-TEST_CASE("Boxes that stay are counted however long nothing changes",
+TEST_CASE("Listed boxes count however long the list stays the same",
           "[quota]") {
   const TimePoint Start(1000s);
   BoxCensus Census;
--- a/tests/decisions/process/ConcurrencyHomeTest.cpp
+++ b/tests/decisions/process/ConcurrencyHomeTest.cpp
@@ -5,7 +5,7 @@
 
 using namespace havenstair;
 
-TEST_CASE("Through whichever boxes a group comes, its limit holds",
+TEST_CASE("A group's concurrency limit holds whichever boxes it uses",
           "[limits][proof]") {
   const std::string Point = "limits, requests at once over all boxes";
   rc::prop(Point, [&] {
@@ -17,16 +17,16 @@
     const auto Steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
         60, rc::gen::pair(drawn(0, 5), drawn(0, 4)));
     for (const auto &[Command, Which] : Steps) {
-      int &Of = Running[static_cast<std::size_t>(Which)];
+      int &OfBox = Running[static_cast<std::size_t>(Which)];
       if (Command <= 2) {
-        if (Home.tryRun(groupName(1), boxName(Which), Of + 1, Limit))
-          ++Of;
-      } else if (Command == 3 && Of > 0) {
-        // The message that it ended is lost; a later one mends the count.
-        --Of;
+        if (Home.tryRun(groupName(1), boxName(Which), OfBox + 1, Limit))
+          ++OfBox;
+      } else if (Command == 3 && OfBox > 0) {
+        // The message that it ended is lost; a later one corrects the count.
+        --OfBox;
         ++Faults;
-      } else if (Of > 0) {
-        Home.setRunning(groupName(1), boxName(Which), --Of);
+      } else if (OfBox > 0) {
+        Home.setRunning(groupName(1), boxName(Which), --OfBox);
       }
       int Sum = 0;
       for (int Each : Running)
@@ -38,7 +38,7 @@
   });
 }
 
-TEST_CASE("What a lost box ran is free again", "[limits]") {
+TEST_CASE("Concurrency that a lost box used is free again", "[limits]") {
   ConcurrencyHome Home;
   REQUIRE(Home.tryRun(groupName(1), boxName(1), 1, 2));
   REQUIRE(Home.tryRun(groupName(1), boxName(2), 1, 2));
--- a/tests/decisions/process/ConfigFetchPolicyTest.cpp
+++ b/tests/decisions/process/ConfigFetchPolicyTest.cpp
@@ -18,64 +18,66 @@
   return {.m_Held = Holds ? Version : 0, .m_Known = Version};
 }
 
-/// Which of its ways to a configuration a box has.
+/// The ways in which a box can get a configuration.
 struct Paths {
-  bool m_HasSource = true; ///< Another box tells that it holds the version.
+  bool m_HasSource = true; ///< A peer can send the version.
   bool m_Watching = false;
   bool m_DefersReads = false;
 };
 
-/// How long what a box begins takes, where its way is well.
+/// How long calls take while their way works.
 struct Costs {
   Duration m_Answer = 200ms; ///< A packed copy over a small link.
   Duration m_Read = 1700ms;  ///< Two megabytes over 10 Mbit/s.
   Duration m_Failure = 1s;   ///< Until a call counts as lost.
 };
 
-/// A box that was recordReport of versions at \p Versions, and whose ways fail
-/// what was begun before \p WorksFrom. \returns when it has the newest one.
+/// Runs a box to which versions are reported at the times \p Versions, and
+/// whose calls fail when they begin before \p WorksFrom. \returns when it has
+/// the newest version.
 TimePoint timeOfNewest(const std::vector<TimePoint> &Versions,
-                       TimePoint WorksFrom, const Paths &Of) {
+                       TimePoint WorksFrom, const Paths &Available) {
   constexpr Duration Step = 10ms;
   constexpr Duration Longest = 60s;
-  const Costs Takes;
+  const Costs Cost;
   ConfigFetchPolicy Policy;
   std::optional<TimePoint> ReadEnds;
   std::optional<TimePoint> CopyComes;
   bool ReadWorks = false;
-  std::size_t Told = 0;
+  std::size_t Reported = 0;
   for (TimePoint Now = Start; Now < Start + Longest; Now += Step) {
-    while (Told < Versions.size() && Versions[Told] <= Now)
-      Policy.recordReport(Relay, peerVersions(++Told, Of.m_HasSource), Now);
-    if (CopyComes && *CopyComes <= Now && Told == Versions.size())
+    while (Reported < Versions.size() && Versions[Reported] <= Now)
+      Policy.recordReport(Relay,
+                          peerVersions(++Reported, Available.m_HasSource), Now);
+    if (CopyComes && *CopyComes <= Now && Reported == Versions.size())
       return Now;
     if (ReadEnds && *ReadEnds <= Now) {
-      if (ReadWorks && Told == Versions.size())
+      if (ReadWorks && Reported == Versions.size())
         return Now;
       ReadEnds.reset();
     }
-    const ConfigStep Next = Policy.next({.m_Known = 0,
-                                         .m_Reading = ReadEnds.has_value(),
-                                         .m_Watching = Of.m_Watching,
-                                         .m_DefersReads = Of.m_DefersReads},
-                                        Now);
+    const ConfigStep Next =
+        Policy.next({.m_Known = 0,
+                     .m_Reading = ReadEnds.has_value(),
+                     .m_Watching = Available.m_Watching,
+                     .m_DefersReads = Available.m_DefersReads},
+                    Now);
     if (Next == ConfigStep::AskPeer && Now >= WorksFrom)
-      CopyComes = Now + Takes.m_Answer;
+      CopyComes = Now + Cost.m_Answer;
     if (Next == ConfigStep::None || Next == ConfigStep::AskPeer)
       continue;
     ReadWorks = Now >= WorksFrom;
-    ReadEnds = Now + (ReadWorks ? Takes.m_Read : Takes.m_Failure);
+    ReadEnds = Now + (ReadWorks ? Cost.m_Read : Cost.m_Failure);
   }
   return Start + Longest;
 }
 
 } // namespace
 
-TEST_CASE(
-    "However long the ways to a configuration have failed, it is there in "
-    "time once they are well",
-    "[config-pursuit][property]") {
-  // What operators want, from when the ways are well again.
+TEST_CASE("A configuration arrives in time once fetching works again, however "
+          "long it has failed",
+          "[config-pursuit][property]") {
+  // Required by operators, from when the ways work again.
   constexpr Duration Given = 3s;
   rc::prop("in time", [=] {
     std::vector<TimePoint> Versions;
@@ -87,31 +89,32 @@
     }
     const TimePoint WorksFrom =
         Last + std::chrono::milliseconds(*drawn(0, 9000));
-    const Paths Of{.m_HasSource = *drawn(0, 1) == 1,
-                   .m_Watching = *drawn(0, 1) == 1,
-                   .m_DefersReads = *drawn(0, 1) == 1};
-    // A box that nobody can send a copy has to read all of it, after the read
-    // that fails.
-    const Duration Whole = Of.m_HasSource ? 0us : Costs{}.m_Failure;
-    RC_ASSERT(timeOfNewest(Versions, WorksFrom, Of) - WorksFrom <=
+    const Paths Available{.m_HasSource = *drawn(0, 1) == 1,
+                          .m_Watching = *drawn(0, 1) == 1,
+                          .m_DefersReads = *drawn(0, 1) == 1};
+    // Without a peer that can send a copy, the box has to read the whole
+    // configuration after the read that fails.
+    const Duration Whole = Available.m_HasSource ? 0us : Costs{}.m_Failure;
+    RC_ASSERT(timeOfNewest(Versions, WorksFrom, Available) - WorksFrom <=
               Given + Whole);
   });
 }
 
-TEST_CASE("A box that leaves the reading to others asks the one that has it",
-          "[config-pursuit]") {
+TEST_CASE(
+    "A box that leaves reading to others asks the peer that has the version",
+    "[config-pursuit]") {
   ConfigFetchPolicy Policy;
   const ConfigFetchPolicy::Situation Leaf{.m_Known = 1, .m_DefersReads = true};
   REQUIRE(Policy.next(Leaf, Start) == ConfigStep::None);
 
-  SECTION("at once, and not again before it may have answered") {
+  SECTION("at once, and again only after the pause") {
     REQUIRE(Policy.recordReport(Relay, peerVersions(2, true), Start));
     REQUIRE(Policy.next(Leaf, Start) == ConfigStep::AskPeer);
     REQUIRE(Policy.source() == Relay);
     REQUIRE(Policy.next(Leaf, Start + 400ms) == ConfigStep::None);
     REQUIRE(Policy.next(Leaf, Start + 500ms) == ConfigStep::AskPeer);
   }
-  SECTION("not one that only knows of it") {
+  SECTION("not a peer that only knows of the version") {
     REQUIRE(Policy.recordReport(Relay, peerVersions(2, false), Start));
     REQUIRE(Policy.source().empty());
     REQUIRE(Policy.next(Leaf, Start + 500ms) == ConfigStep::None);
@@ -119,25 +122,26 @@
         Policy.recordReport(Relay, peerVersions(2, true), Start + 500ms));
     REQUIRE(Policy.next(Leaf, Start + 500ms) == ConfigStep::AskPeer);
   }
-  SECTION("and reads the store when nobody has it for long") {
+  SECTION("and reads the store when no peer has it for long") {
     REQUIRE(Policy.recordReport(Relay, peerVersions(2, false), Start));
     REQUIRE(Policy.next(Leaf, Start + ConfigFetchPolicy::SourceTimeout) ==
             ConfigStep::ReadStale);
     REQUIRE(Policy.next(Leaf, Start + ConfigFetchPolicy::SourceTimeout +
                                   200ms) == ConfigStep::ReadCurrent);
   }
-  SECTION("for what it has while it only knows of newer ones") {
+  SECTION(
+      "for the version that it has, not for newer ones that it only knows of") {
     REQUIRE(Policy.recordReport(Relay, {.m_Held = 2, .m_Known = 3}, Start));
     REQUIRE(Policy.next(Leaf, Start) == ConfigStep::AskPeer);
     REQUIRE(Policy.next({.m_Known = 2, .m_DefersReads = true}, Start + 600ms) ==
             ConfigStep::None);
   }
-  SECTION("but none that has gone") {
+  SECTION("but not a peer that has gone") {
     REQUIRE(Policy.recordReport(Relay, peerVersions(2, true), Start));
     Policy.forget(Relay);
     REQUIRE(Policy.next(Leaf, Start) == ConfigStep::None);
   }
-  SECTION("and nobody once it has it") {
+  SECTION("and nobody once it has the version") {
     REQUIRE(Policy.recordReport(Relay, peerVersions(2, true), Start));
     REQUIRE(Policy.behind(1, Start + 300ms) == 300ms);
     REQUIRE(Policy.next({.m_Known = 2}, Start + 300ms) == ConfigStep::None);
@@ -145,8 +149,9 @@
   }
 }
 
-TEST_CASE("Each newer version of a series is asked for as it is told",
-          "[config-pursuit]") {
+TEST_CASE(
+    "Each newer version of a series is requested as soon as it is reported",
+    "[config-pursuit]") {
   ConfigFetchPolicy Policy;
   const ConfigFetchPolicy::Situation Leaf{.m_Known = 1, .m_DefersReads = true};
   Policy.recordReport(Relay, peerVersions(2, true), Start);
@@ -156,7 +161,7 @@
   REQUIRE(Policy.behind(1, Start + 250ms) == 250ms);
 }
 
-TEST_CASE("A box whose own watch does not tell begins it again",
+TEST_CASE("A box whose own watch delivers nothing restarts it",
           "[config-pursuit]") {
   ConfigFetchPolicy Policy;
   const ConfigFetchPolicy::Situation Box{.m_Known = 1, .m_Watching = true};
--- a/tests/decisions/process/CrashTrackerTest.cpp
+++ b/tests/decisions/process/CrashTrackerTest.cpp
@@ -16,13 +16,14 @@
 const RequestDigest Beside("beside");
 const BoxName Box("box");
 
-/// A book and the time that it is told.
+/// A tracker and the time that is passed to it.
 struct TrackerTest {
   CrashTracker m_Tracker;
   TimePoint m_Now = TimePoint(100s);
   int m_Servers = 0;
 
-  /// One more server ends with \p Running on it; all words of it come.
+  /// One more upstream crashes while it runs \p Running; all reports of it
+  /// arrive.
   void crash(const std::vector<RequestDigest> &Running) {
     m_Tracker.recordCrash({.m_Id = "i-" + std::to_string(++m_Servers)}, Running,
                           m_Now);
@@ -39,7 +40,7 @@
 
 } // namespace
 
-TEST_CASE("A request is barred once three servers ended under it",
+TEST_CASE("A request is quarantined after it crashed three upstreams",
           "[crash][decisions]") {
   TrackerTest Test;
   Test.crash({Bad});
@@ -54,19 +55,19 @@
   REQUIRE(Test.m_Tracker.findQuarantine(Bad, Test.m_Now)->m_By == Box);
 }
 
-TEST_CASE("Words of several boxes on one end count once",
+TEST_CASE("Reports of several boxes about one crash count once",
           "[crash][decisions]") {
   TrackerTest Test;
-  for (int Word = 0; Word < 5; ++Word)
+  for (int Report = 0; Report < 5; ++Report)
     Test.m_Tracker.recordCrash({.m_Id = "i-1"}, {Bad}, Test.m_Now);
   REQUIRE(Test.m_Tracker.crashCount(Bad, Test.m_Now) == 1);
-  SECTION("and a later start of the server is another one") {
+  SECTION("and a crash of a later incarnation is another one") {
     Test.m_Tracker.recordCrash({.m_Id = "i-1", .m_Born = 5}, {Bad}, Test.m_Now);
     REQUIRE(Test.m_Tracker.crashCount(Bad, Test.m_Now) == 2);
   }
 }
 
-TEST_CASE("Nothing is judged while words may be on their way",
+TEST_CASE("No request is quarantined while reports may still arrive",
           "[crash][decisions]") {
   TrackerTest Test;
   Test.crash({Bad, Beside});
@@ -77,41 +78,42 @@
   const auto DecisionTime = Test.m_Tracker.decisionTime(Beside, Test.m_Now);
   REQUIRE(DecisionTime);
   REQUIRE(Test.m_Tracker.nextDecisionTime(Test.m_Now) == DecisionTime);
-  SECTION("so what is told late counts") {
+  SECTION("so a late report counts") {
     Test.m_Tracker.recordCrash(Last, {Bad}, *DecisionTime - 1ms);
     Test.m_Now = *DecisionTime + 200ms;
     REQUIRE(Test.quarantineSuspects().empty());
     Test.crash({Bad});
     REQUIRE(Test.quarantineSuspects() == std::vector{Bad});
   }
-  SECTION("and then it is") {
+  SECTION("and afterwards it is") {
     Test.m_Now = *DecisionTime;
     REQUIRE_FALSE(Test.m_Tracker.nextDecisionTime(Test.m_Now));
     REQUIRE(Test.quarantineSuspects() == std::vector{Beside});
   }
 }
 
-TEST_CASE("What was there each time too is not barred in its place",
+TEST_CASE("A request that ran beside the crashing one each time is not "
+          "quarantined instead",
           "[crash][decisions]") {
   TrackerTest Test;
-  for (int End = 0; End < 3; ++End)
+  for (int Crash = 0; Crash < 3; ++Crash)
     Test.crash({Bad, Beside});
   REQUIRE(Test.quarantineSuspects().empty());
-  SECTION("one more end without it tells them apart") {
+  SECTION("one more crash without it tells them apart") {
     Test.crash({Bad});
     REQUIRE(Test.quarantineSuspects() == std::vector{Bad});
     REQUIRE_FALSE(Test.quarantined(Beside));
     REQUIRE(Test.m_Tracker.crashCount(Beside, Test.m_Now) == 0);
-    SECTION("and what happens beside a barred one no longer counts") {
+    SECTION("and crashes beside a quarantined request no longer count") {
       Test.crash({Bad, Beside});
       REQUIRE(Test.quarantineSuspects().empty());
     }
   }
-  SECTION("so does one that runs well") {
+  SECTION("so does one that runs to completion") {
     REQUIRE(Test.m_Tracker.recordCompletion(Beside, Test.m_Now));
     REQUIRE(Test.quarantineSuspects() == std::vector{Bad});
   }
-  SECTION("and when nothing does, both are barred at the fifth") {
+  SECTION("and when nothing does, both are quarantined at the fifth crash") {
     Test.crash({Bad, Beside});
     REQUIRE(Test.quarantineSuspects().empty());
     Test.crash({Bad, Beside});
@@ -119,10 +121,10 @@
   }
 }
 
-TEST_CASE("Each of several bad requests is found", "[crash][decisions]") {
+TEST_CASE("Each of several crashing requests is found", "[crash][decisions]") {
   TrackerTest Test;
   const RequestDigest Other("other");
-  for (int End = 0; End < 3; ++End) {
+  for (int Crash = 0; Crash < 3; ++Crash) {
     Test.crash({Bad, Beside});
     Test.crash({Other});
   }
@@ -132,19 +134,19 @@
   REQUIRE(Test.quarantined(Other));
 }
 
-TEST_CASE("A request that ran well is to blame for no end",
+TEST_CASE("A request that ran to completion is blamed for no crash",
           "[crash][decisions]") {
   TrackerTest Test;
-  SECTION("shortly before") {
+  SECTION("shortly before the crashes") {
     Test.m_Tracker.recordCompletion(Bad, Test.m_Now);
-    const auto RecordResult =
+    const auto Result =
         Test.m_Tracker.recordCrash({.m_Id = "i"}, {Bad}, Test.m_Now);
-    REQUIRE(RecordResult.m_Completed == std::vector{Bad});
-    REQUIRE_FALSE(RecordResult.m_New);
-    for (int End = 0; End < 5; ++End)
+    REQUIRE(Result.m_Completed == std::vector{Bad});
+    REQUIRE_FALSE(Result.m_New);
+    for (int Crash = 0; Crash < 5; ++Crash)
       Test.crash({Bad});
   }
-  SECTION("between the ends") {
+  SECTION("between the crashes") {
     Test.crash({Bad});
     Test.crash({Bad});
     REQUIRE(Test.m_Tracker.recordCompletion(Bad, Test.m_Now));
@@ -153,10 +155,11 @@
   REQUIRE(Test.quarantineSuspects().empty());
 }
 
-TEST_CASE("A bar ends when the request runs well after all",
-          "[crash][decisions]") {
+TEST_CASE(
+    "A quarantine is lifted when the request runs to completion after all",
+    "[crash][decisions]") {
   TrackerTest Test;
-  for (int End = 0; End < 3; ++End)
+  for (int Crash = 0; Crash < 3; ++Crash)
     Test.crash({Bad});
   Test.quarantineSuspects();
   REQUIRE(Test.m_Tracker.recordCompletion(Bad, Test.m_Now));
@@ -164,10 +167,11 @@
   REQUIRE(Test.quarantineSuspects().empty());
 }
 
-TEST_CASE("A bar that was lifted is not taken over from who has not heard",
+TEST_CASE("A lifted quarantine is not taken over again from a box that missed "
+          "the lifting",
           "[crash][decisions]") {
   TrackerTest Test;
-  for (int End = 0; End < 3; ++End)
+  for (int Crash = 0; Crash < 3; ++Crash)
     Test.crash({Bad});
   Test.quarantineSuspects();
   const RequestQuarantine Lifted =
@@ -176,24 +180,25 @@
   Test.m_Now += 60s;
   REQUIRE(Test.m_Tracker.wasLifted(Bad));
   REQUIRE_FALSE(Test.m_Tracker.adopt(Bad, Lifted, Test.m_Now));
-  SECTION("but what it does afterwards counts") {
-    for (int End = 0; End < 3; ++End)
+  SECTION("but later crashes count") {
+    for (int Crash = 0; Crash < 3; ++Crash)
       Test.crash({Bad});
     REQUIRE(Test.quarantineSuspects() == std::vector{Bad});
     REQUIRE_FALSE(Test.m_Tracker.wasLifted(Bad));
   }
 }
 
-TEST_CASE("A bar ends by itself, and one more end renews it",
+TEST_CASE("A quarantine expires, and one more crash renews it",
           "[crash][decisions]") {
   TrackerTest Test;
-  for (int End = 0; End < 3; ++End)
+  for (int Crash = 0; Crash < 3; ++Crash)
     Test.crash({Bad});
   Test.quarantineSuspects();
   Test.m_Now += CrashTracker::Options{}.m_QuarantineDuration;
   Test.m_Tracker.prune(Test.m_Now);
   REQUIRE_FALSE(Test.quarantined(Bad));
-  SECTION("word of it from a box that learned later does not renew it") {
+  SECTION(
+      "a report of it from a box that learned of it later does not renew it") {
     RequestQuarantine Late{.m_Until = Test.m_Now + 60s};
     REQUIRE_FALSE(Test.m_Tracker.adopt(Bad, Late, Test.m_Now));
   }
@@ -201,36 +206,38 @@
   REQUIRE(Test.quarantineSuspects() == std::vector{Bad});
 }
 
-TEST_CASE("Words of another box's bar are taken over once",
+TEST_CASE("A quarantine that another box reports is taken over once",
           "[crash][decisions]") {
   TrackerTest Test;
-  const RequestQuarantine Told{.m_Servers = {"i-1"},
-                               .m_By = BoxName("other"),
-                               .m_Since = Test.m_Now - 60s,
-                               .m_Until = TimePoint::max()};
-  REQUIRE(Test.m_Tracker.adopt(Bad, Told, Test.m_Now));
-  REQUIRE_FALSE(Test.m_Tracker.adopt(Bad, Told, Test.m_Now));
+  const RequestQuarantine Reported{.m_Servers = {"i-1"},
+                                   .m_By = BoxName("other"),
+                                   .m_Since = Test.m_Now - 60s,
+                                   .m_Until = TimePoint::max()};
+  REQUIRE(Test.m_Tracker.adopt(Bad, Reported, Test.m_Now));
+  REQUIRE_FALSE(Test.m_Tracker.adopt(Bad, Reported, Test.m_Now));
   REQUIRE(Test.m_Tracker.findQuarantine(Bad, Test.m_Now)->m_By ==
           BoxName("other"));
   REQUIRE(Test.m_Tracker.findQuarantine(Bad, Test.m_Now)->m_Until <=
           Test.m_Now + CrashTracker::Options{}.m_QuarantineDuration);
 }
 
-TEST_CASE("What operators let through is not barred", "[crash][decisions]") {
+TEST_CASE("A request that operators release is not quarantined",
+          "[crash][decisions]") {
   TrackerTest Test;
-  for (int End = 0; End < 3; ++End)
+  for (int Crash = 0; Crash < 3; ++Crash)
     Test.crash({Bad});
   Test.quarantineSuspects();
   Test.m_Tracker.setReleased({Bad});
   REQUIRE_FALSE(Test.quarantined(Bad));
-  for (int End = 0; End < 5; ++End)
+  for (int Crash = 0; Crash < 5; ++Crash)
     Test.crash({Bad});
   REQUIRE(Test.quarantineSuspects().empty());
   Test.m_Tracker.setReleased({});
   REQUIRE_FALSE(Test.quarantineSuspects().empty());
 }
 
-TEST_CASE("A word of suspicion finds who knows better", "[crash][decisions]") {
+TEST_CASE("A box that saw a suspect run to completion says so",
+          "[crash][decisions]") {
   TrackerTest Test;
   Test.m_Tracker.recordCompletion(Beside, Test.m_Now);
   REQUIRE(Test.m_Tracker.addSuspect(Beside, Test.m_Now));
@@ -240,13 +247,13 @@
   REQUIRE(Test.m_Tracker.recordCompletion(Bad, Test.m_Now));
 }
 
-TEST_CASE("Thousands of bad requests are barred within bounds",
+TEST_CASE("Quarantining thousands of requests keeps the memory bounds",
           "[crash][decisions]") {
   TrackerTest Test;
   const CrashTracker::Options Bounds;
   for (std::size_t Number = 0; Number < 2 * Bounds.m_MaxQuarantines; ++Number) {
     const RequestDigest Each("d" + std::to_string(Number));
-    for (int End = 0; End < 3; ++End)
+    for (int Crash = 0; Crash < 3; ++Crash)
       Test.crash({Each});
     REQUIRE(Test.quarantineSuspects() == std::vector{Each});
   }
@@ -255,9 +262,9 @@
 
 namespace {
 
-/// Requests quarantined among \p Contents that are all fine, as a tenth of 100
-/// servers are lost, twice. Each content is sent up to \p MostRuns times at
-/// once, and once more when all of them are lost.
+/// \returns how many of \p Contents harmless requests are quarantined when a
+/// tenth of 100 upstreams crash at once, twice. Each request is sent up to \p
+/// MostRuns times at once, and once more when all of these are lost.
 std::size_t quarantinedAmongCorrelatedCrashes(std::mt19937_64 &Random,
                                               int Contents, int MostRuns) {
   TrackerTest Test;
@@ -289,8 +296,9 @@
 
 } // namespace
 
-TEST_CASE("Servers that end in a herd bar less than one fine request in 1,000",
-          "[crash][decisions]") {
+TEST_CASE(
+    "Correlated crashes quarantine fewer than one harmless request in 1,000",
+    "[crash][decisions]") {
   std::mt19937_64 Random(20261203);
   const int MostRuns = GENERATE(1, 2, 4, 20);
   std::size_t Quarantined = 0;
@@ -303,28 +311,29 @@
   REQUIRE(Quarantined * 1000 < std::size_t{Draws} * Contents);
 }
 
-TEST_CASE("A request that ends servers within a second is not taken for one "
-          "that was in a herd",
+TEST_CASE("A request that crashes upstreams within a second is not excused as "
+          "correlated",
           "[crash][decisions]") {
   TrackerTest Test;
-  for (int End = 0; End < 3; ++End)
-    Test.m_Tracker.recordCrash({.m_Id = std::to_string(End)}, {Bad},
+  for (int Crash = 0; Crash < 3; ++Crash)
+    Test.m_Tracker.recordCrash({.m_Id = std::to_string(Crash)}, {Bad},
                                Test.m_Now += 50ms);
   Test.m_Now += 200ms;
   REQUIRE(Test.quarantineSuspects() == std::vector{Bad});
 }
 
-TEST_CASE("A request is barred after five ends whatever else was there",
-          "[crash][decisions]") {
+TEST_CASE(
+    "A request is quarantined after five crashes whatever else was running",
+    "[crash][decisions]") {
   TrackerTest Test;
   const RequestDigest Other("other");
-  for (int End = 0; End < 5; ++End) {
+  for (int Crash = 0; Crash < 5; ++Crash) {
     REQUIRE(Test.quarantineSuspects().empty());
-    Test.m_Tracker.recordCrash({.m_Id = std::to_string(End)},
+    Test.m_Tracker.recordCrash({.m_Id = std::to_string(Crash)},
                                {Bad, Beside, Other}, Test.m_Now);
     for (int Correlated = 0; Correlated < 3; ++Correlated)
       Test.m_Tracker.recordCrash(
-          {.m_Id = std::to_string(10 * End + Correlated + 10)}, {Other},
+          {.m_Id = std::to_string(10 * Crash + Correlated + 10)}, {Other},
           Test.m_Now);
     Test.m_Now += 100ms;
     Test.m_Tracker.recordCompletion(Other, Test.m_Now - 20s);
@@ -333,13 +342,14 @@
   REQUIRE(Test.quarantined(Bad));
 }
 
-TEST_CASE("Bad requests that hide in a herd are found when they come again",
+TEST_CASE("Crashing requests hidden among correlated crashes are found when "
+          "they come again",
           "[crash][decisions]") {
   TrackerTest Test;
-  for (int End = 0; End < 12; ++End)
+  for (int Crash = 0; Crash < 12; ++Crash)
     Test.m_Tracker.recordCrash(
-        {.m_Id = std::to_string(End)},
-        {End % 4 == 0 ? Bad : Beside, RequestDigest(std::to_string(End))},
+        {.m_Id = std::to_string(Crash)},
+        {Crash % 4 == 0 ? Bad : Beside, RequestDigest(std::to_string(Crash))},
         Test.m_Now);
   Test.m_Tracker.recordCompletion(Beside, Test.m_Now);
   Test.m_Now += 2s;
--- a/tests/decisions/process/DemandRatesTest.cpp
+++ b/tests/decisions/process/DemandRatesTest.cpp
@@ -8,7 +8,8 @@
 
 const ModelKey Key{"s", "m", ""};
 
-/// Adds \p PerSecond requests for \p Length, ten times a second.
+/// Adds demand of \p PerSecond requests per second for \p Length, in ten steps
+/// a second.
 void run(DemandRates &Rates, TimePoint &Now, double PerSecond,
          Duration Length) {
   for (const TimePoint End = Now + Length; Now < End; Now += 100ms)
@@ -17,7 +18,7 @@
 
 } // namespace
 
-TEST_CASE("A steady demand is told as its rate", "[demand]") {
+TEST_CASE("A steady demand is reported as its rate", "[demand]") {
   DemandRates Rates;
   TimePoint Now = at(0s);
   run(Rates, Now, 20, 30s);
@@ -25,7 +26,7 @@
   REQUIRE(Rates.rate(Key, Now).m_WorkMs == Approx(200).epsilon(0.1));
 }
 
-TEST_CASE("A rise is told before the slow mean follows", "[demand]") {
+TEST_CASE("A rise is reported before the slow mean follows", "[demand]") {
   DemandRates Rates;
   TimePoint Now = at(0s);
   run(Rates, Now, 2, 20s);
@@ -33,8 +34,7 @@
   REQUIRE(Rates.rate(Key, Now).m_Requests > 8);
 }
 
-TEST_CASE("What is usually asked for outlives what is asked for now",
-          "[demand]") {
+TEST_CASE("The baseline outlives the current demand", "[demand]") {
   DemandRates Rates;
   TimePoint Now = at(0s);
   run(Rates, Now, 20, 30s);
@@ -42,7 +42,7 @@
   REQUIRE(Rates.baseline(Now + 20s).at(Key).m_Requests > 5);
 }
 
-TEST_CASE("Demand that has gone is forgotten", "[demand]") {
+TEST_CASE("Demand that has ended is forgotten", "[demand]") {
   DemandRates Rates;
   TimePoint Now = at(0s);
   run(Rates, Now, 20, 10s);
@@ -51,14 +51,14 @@
   REQUIRE(Rates.rate({"s", "never", ""}, Now) == ModelDemand{});
 }
 
-TEST_CASE("A demand that moves is told as it will soon be", "[demand]") {
+TEST_CASE("A moving demand is extrapolated", "[demand]") {
   DemandRates Rates;
   TimePoint Now = at(0s);
   run(Rates, Now, 20, 20s);
   SECTION("rising") {
     for (int PerSecond = 20; PerSecond < 40; ++PerSecond)
       run(Rates, Now, PerSecond, 200ms);
-    // A plain mean would still be at thirty.
+    // A plain mean would still be at 30.
     REQUIRE(Rates.rate(Key, Now).m_Requests > 37);
   }
   SECTION("falling") {
--- a/tests/decisions/process/EchoClockTest.cpp
+++ b/tests/decisions/process/EchoClockTest.cpp
@@ -6,7 +6,7 @@
 
 using namespace havenstair;
 
-TEST_CASE("A word is not older than what it echoes", "[echo]") {
+TEST_CASE("A message is not older than the number that it echoes", "[echo]") {
   EchoClock Here;
   EchoClock There;
   REQUIRE(Here.sentAt(There.echoFor(boxName(0))) == TimePoint{});
@@ -18,8 +18,7 @@
   REQUIRE(Here.sentAt(There.echoFor(boxName(0))) == TimePoint(6s));
 }
 
-TEST_CASE("Numbers that were never told, or long ago, prove nothing",
-          "[echo]") {
+TEST_CASE("Numbers never sent, or sent long ago, prove nothing", "[echo]") {
   EchoClock Clock;
   REQUIRE(Clock.sentAt(1) == TimePoint{});
   for (int Number = 1; Number <= 1000; ++Number)
@@ -30,8 +29,9 @@
   REQUIRE(Clock.sentAt(0) == TimePoint{});
 }
 
-TEST_CASE("However words are held up, none is taken for newer than it is",
-          "[echo][property][proof]") {
+TEST_CASE(
+    "However long messages are delayed, none is taken for newer than it is",
+    "[echo][property][proof]") {
   rc::prop("delays either way", [] {
     EchoClock Here;
     EchoClock There;
@@ -41,14 +41,14 @@
     for (int Round = *drawn(1, 40); Round > 0; --Round) {
       Now += std::chrono::milliseconds(*drawn(1, 400));
       const std::uint64_t Number = Here.nextNumber(TimePoint(Now));
-      // Links keep the order, whatever the delay.
+      // Links preserve the order of messages, whatever the delay.
       Arrives =
           std::max(Arrives, Now + std::chrono::milliseconds(*drawn(0, 8000)));
       There.recordReceived(boxName(0), Number);
-      const Duration Said = Arrives;
-      Returns =
-          std::max(Returns, Said + std::chrono::milliseconds(*drawn(0, 8000)));
-      RC_ASSERT(Here.sentAt(There.echoFor(boxName(0))) <= TimePoint(Said));
+      const Duration SentBack = Arrives;
+      Returns = std::max(Returns,
+                         SentBack + std::chrono::milliseconds(*drawn(0, 8000)));
+      RC_ASSERT(Here.sentAt(There.echoFor(boxName(0))) <= TimePoint(SentBack));
     }
   });
 }
--- a/tests/decisions/process/EngineLedgerTest.cpp
+++ b/tests/decisions/process/EngineLedgerTest.cpp
@@ -29,7 +29,7 @@
   return Result;
 }
 
-/// An engine that takes orders as the pages say; it is the oracle.
+/// The oracle: an engine that carries out orders as documented.
 class Engine {
 public:
   struct Late {
@@ -38,7 +38,7 @@
   };
 
   Engine() = default;
-  /// One with other memory than most.
+  /// An engine with \p Mb of memory for weights and adapters.
   explicit Engine(double Mb) : m_Mb(Mb) {}
 
   OrderAnswer take(const ResidencyOrder &Order, std::uint64_t Expected) {
@@ -66,7 +66,7 @@
     return OrderAnswer::Accepted;
   }
 
-  /// What is under way is done.
+  /// Completes everything that is under way.
   void finish() {
     for (const ResidencyOrder &Each : m_Coming)
       if (ResidentModel *Model = of(Each.m_Model))
@@ -97,7 +97,7 @@
 
   bool overcommitted() const { return m_Overcommitted; }
 
-  /// It ends, and starts again under its name; it holds nothing then.
+  /// Restarts under the same name, with nothing loaded.
   void startAgain() {
     ++m_Born;
     m_Count = 0;
@@ -155,8 +155,7 @@
 
 } // namespace
 
-TEST_CASE("An engine is never ordered beyond its memory, whatever is lost or "
-          "comes late",
+TEST_CASE("Orders never exceed an engine's memory, whatever is lost or late",
           "[orders][property][proof]") {
   rc::prop("memory", [] {
     const EngineSpec Spec = spec();
@@ -175,7 +174,7 @@
           break;
         const std::uint64_t Expected = Ledger.begin(Order, Now);
         switch (*drawn(0, 4)) {
-        case 0: // It is taken, and the answer is lost.
+        case 0: // It is carried out, and the answer is lost.
           Real.take(Order, Expected);
           Ledger.recordAnswer(OrderAnswer::Lost, Now);
           break;
@@ -205,9 +204,9 @@
   });
 }
 
-TEST_CASE("Late orders to former starts of an engine never take it beyond its "
-          "memory",
-          "[orders][property][proof][lives]") {
+TEST_CASE(
+    "Late orders to former incarnations of an engine never exceed its memory",
+    "[orders][property][proof][lives]") {
   rc::prop("memory over starts", [] {
     constexpr double Mb = 2 * ModelMb + Capacity;
     EngineSpec Spec = spec();
@@ -235,7 +234,7 @@
         const std::uint64_t Expected = Ledger.begin(Order, Now);
         if (*drawn(0, 2) == 0) {
           Late.push_back({{Order, Expected}, Now});
-          // It starts again before or after the call is given up.
+          // The engine restarts before or after the call is given up.
           if (*drawn(0, 3) != 0)
             Ledger.recordAnswer(OrderAnswer::Lost, Now);
         } else {
@@ -245,7 +244,7 @@
       }
       case 3:
       case 4:
-        // The worst order that may come: one that fits.
+        // The worst order that may arrive: one that expects the right count.
         for (auto Each = Late.begin(); Each != Late.end(); ++Each)
           if (Each->first.m_Expected == Real.report().m_OrderCount) {
             Real.take(Each->first.m_Order, Each->first.m_Expected);
@@ -271,7 +270,7 @@
   });
 }
 
-TEST_CASE("What was under way at a restart may still be carried out after it",
+TEST_CASE("An order under way at a restart may still be carried out after it",
           "[orders][lives]") {
   EngineSpec Spec = spec();
   Spec.m_WeightsMb = ModelMb;
@@ -292,7 +291,7 @@
   REQUIRE(Ledger.allows(load(2), Spec));
 }
 
-TEST_CASE("Late loads together fit an engine that starts again and is empty",
+TEST_CASE("Late loads together fit an engine that restarts empty",
           "[orders][lives]") {
   EngineSpec Spec = spec();
   Spec.m_WeightsMb = 2 * ModelMb;
@@ -319,8 +318,9 @@
   REQUIRE(Ledger.allows(load(3), Spec));
 }
 
-TEST_CASE("A count that falls tells of a new start that tells no birth",
-          "[orders][lives]") {
+TEST_CASE(
+    "A lower order count shows the restart of an engine without a start time",
+    "[orders][lives]") {
   Engine Real;
   EngineLedger Ledger;
   const auto WithoutStartTime = [](ResidencyReport Report) {
@@ -333,12 +333,12 @@
   Real.finish();
   Ledger.applyReport(WithoutStartTime(Real.report()), at(3s), at(3s));
   Real.startAgain();
-  SECTION("though not in an answer that may be of before") {
+  SECTION("but not in an answer that may be from before") {
     Ledger.applyReport(WithoutStartTime(Real.report()), at(4s), at(3s));
     Ledger.applyReport(WithoutStartTime(Real.report()), at(4s), at(3s));
     REQUIRE(Ledger.count() == 1);
   }
-  SECTION("when it is told twice") {
+  SECTION("when it is reported twice") {
     Ledger.applyReport(WithoutStartTime(Real.report()), at(5s), at(4s));
     REQUIRE(Ledger.count() == 1);
     REQUIRE(
@@ -347,7 +347,7 @@
     REQUIRE_FALSE(Ledger.holds(model(1)));
     REQUIRE(Ledger.allows(load(2), spec()));
   }
-  SECTION("but not when the next tells the known count again") {
+  SECTION("but not when the next report has the known count again") {
     const ResidencyReport Late = WithoutStartTime(Engine().report());
     ResidencyReport Known = WithoutStartTime(Real.report());
     Known.m_OrderCount = 1;
@@ -356,14 +356,14 @@
     Ledger.applyReport(Late, at(7s), at(6s));
     REQUIRE(Ledger.count() == 1);
   }
-  SECTION("but not under a birth that is told") {
+  SECTION("but not when the start time is reported") {
     REQUIRE_FALSE(Ledger.applyReport(Real.report(), at(5s), at(4s)));
     REQUIRE_FALSE(Ledger.applyReport(Real.report(), at(6s), at(5s)));
     REQUIRE(Ledger.count() == 1);
   }
 }
 
-TEST_CASE("While late orders that nobody knows may come, nothing is loaded",
+TEST_CASE("Nothing is loaded while unknown late orders may arrive",
           "[orders][lives]") {
   EngineLedger Ledger;
   Ledger.blockLoadsUntil(at(9s));
@@ -374,12 +374,12 @@
   REQUIRE(Ledger.allows(load(1), spec()));
 }
 
-TEST_CASE("Nothing is ordered before the engine has told what it holds",
+TEST_CASE("Nothing is ordered before the engine has reported what it holds",
           "[orders]") {
   REQUIRE_FALSE(EngineLedger().allows(load(1), spec()));
 }
 
-TEST_CASE("An order without an answer is sent again, and nothing else",
+TEST_CASE("An order without an answer is sent again before anything else",
           "[orders]") {
   EngineLedger Ledger;
   Ledger.applyReport(Engine().report(), at(0s));
@@ -396,7 +396,7 @@
     REQUIRE_FALSE(Ledger.resend(at(3s)));
     REQUIRE(Ledger.allows(load(2), spec()));
   }
-  SECTION("or its life is over") {
+  SECTION("or the order is too old") {
     Ledger.applyReport(Engine().report(), at(5s));
     REQUIRE(Ledger.uncertain());
     Ledger.applyReport(Engine().report(), at(20s));
@@ -415,7 +415,7 @@
   REQUIRE(Ledger.acceptedModelOrder() == load(1));
 }
 
-TEST_CASE("An adapter that no request uses goes at once", "[orders]") {
+TEST_CASE("An adapter that no request uses is unloaded at once", "[orders]") {
   Engine Real;
   EngineLedger Ledger;
   Ledger.applyReport(Real.report(), at(0s));
@@ -435,7 +435,7 @@
   REQUIRE(Ledger.count() == Real.report().m_OrderCount);
 }
 
-TEST_CASE("News in the list only asks for a report", "[orders]") {
+TEST_CASE("A change in the list only makes a report necessary", "[orders]") {
   EngineLedger Ledger;
   Ledger.applyReport(Engine().report(), at(0s));
   UpstreamInstance Entry;
--- a/tests/decisions/process/EngineOrdersTest.cpp
+++ b/tests/decisions/process/EngineOrdersTest.cpp
@@ -13,8 +13,8 @@
 constexpr int BoxCount = 3;
 constexpr std::size_t StepCount = 150;
 
-/// The simple oracle: an engine that does what it is told and counts how
-/// often its memory was exceeded.
+/// The oracle: an engine that carries out every order and counts how often its
+/// memory was exceeded.
 class OracleEngine {
 public:
   explicit OracleEngine(bool ChecksTokens) : m_ChecksTokens(ChecksTokens) {}
@@ -54,30 +54,32 @@
   std::uint64_t m_Violations = 0;
 };
 
-/// An action that was decided on. A write of the journal is bound to the index
-/// that was known then, as the product sends both at once.
+/// An action that is not carried out yet. A write of the journal keeps the
+/// index that was known when the action was decided on, as the product sends
+/// both at once.
 struct HeldAction {
   EngineAction m_Action;
   std::uint64_t m_JournalIndex = 0;
 };
 
-/// A box with the actions that it decided on but has not carried out yet.
+/// A box with the actions that it has yet to carry out.
 struct WorldBox {
   std::unique_ptr<EngineOrders> m_Orders;
   BoxName m_Name;
-  std::deque<HeldAction> m_InHand;
+  std::deque<HeldAction> m_Undone;
   std::uint64_t m_JournalIndex = 0;
   FencingToken m_Token = 0;
   bool m_MovedOn = true;
 };
 
-/// An order on the network; it lands before m_Latest or never.
-struct Letter {
+/// An order on the network; it arrives before m_Latest or never.
+struct MessageInFlight {
   EngineOrder m_Order;
   TimePoint m_Latest;
 };
 
-/// Boxes, an engine, a journal and a network that loses, doubles and delays.
+/// Boxes, an engine, a journal and a network that loses, duplicates and delays
+/// messages.
 class World {
 public:
   World(bool ChecksTokens, bool CountUnsettled)
@@ -103,13 +105,13 @@
     case 5:
       return deliver(Size);
     case 6:
-      return loseOrDouble(Size);
+      return loseOrDuplicate(Size);
     case 7:
       return learnAssignment(Box);
     case 8:
       return kill(Which % BoxCount);
     case 9:
-      return tellMovedOn(Box);
+      return reportMovedOn(Box);
     default:
       m_Now += std::chrono::milliseconds(1 + Size % 60);
       for (WorldBox &Each : m_Boxes)
@@ -137,22 +139,23 @@
                               .m_ReportInterval = 10ms,
                               .m_QuietInterval = 50ms,
                               .m_CountUnsettled = m_CountUnsettled});
-    Box.m_InHand.clear();
+    Box.m_Undone.clear();
     Box.m_Token = 0;
     Box.m_MovedOn = true;
   }
 
   void hold(WorldBox &Box, const EngineActions &Actions) {
     for (const EngineAction &Action : Actions)
-      Box.m_InHand.push_back({Action, Box.m_JournalIndex});
+      Box.m_Undone.push_back({Action, Box.m_JournalIndex});
   }
 
-  /// The former owner is not told: it may be paused with orders in hand.
+  /// The former owner does not learn of it: it may be paused with orders yet to
+  /// send.
   void takeOver(WorldBox &Box) {
     for (WorldBox &Each : m_Boxes)
       if (Each.m_Token != 0)
         Each.m_MovedOn = false;
-    Box.m_InHand.clear();
+    Box.m_Undone.clear();
     Box.m_MovedOn = true;
     Box.m_Token = ++m_LastToken;
     hold(Box, Box.m_Orders->takeOver(Box.m_Token, m_Now));
@@ -162,7 +165,7 @@
     if (Box.m_Token == m_LastToken)
       return;
     Box.m_Orders->resign();
-    Box.m_InHand.clear();
+    Box.m_Undone.clear();
     Box.m_Token = 0;
     Box.m_MovedOn = true;
   }
@@ -173,7 +176,7 @@
     start(Index);
   }
 
-  void tellMovedOn(WorldBox &To) {
+  void reportMovedOn(WorldBox &To) {
     for (const BoxName &Writer : m_Dead)
       hold(To, To.m_Orders->writerMovedOn(Writer, m_Now));
     for (const WorldBox &Each : m_Boxes)
@@ -181,13 +184,13 @@
         hold(To, To.m_Orders->writerMovedOn(Each.m_Name, m_Now));
   }
 
-  /// Carries one action out; \p Chance decides on its fate.
+  /// Carries one action out; \p Chance decides whether it is lost.
   void carryOut(WorldBox &Box, int Chance) {
-    if (Box.m_InHand.empty())
+    if (Box.m_Undone.empty())
       return;
-    const HeldAction Held = Box.m_InHand.front();
+    const HeldAction Held = Box.m_Undone.front();
     const EngineAction &Action = Held.m_Action;
-    Box.m_InHand.pop_front();
+    Box.m_Undone.pop_front();
     const bool Lost = Chance % 5 == 0;
     m_Faults += Lost ? 1 : 0;
     if (const auto *Send = std::get_if<SendOrder>(&Action))
@@ -243,8 +246,9 @@
   }
 
   void deliver(int Chance) {
-    std::erase_if(m_Network,
-                  [&](const Letter &Each) { return Each.m_Latest < m_Now; });
+    std::erase_if(m_Network, [&](const MessageInFlight &Each) {
+      return Each.m_Latest < m_Now;
+    });
     if (m_Network.empty())
       return;
     const auto Index = static_cast<std::size_t>(Chance) % m_Network.size();
@@ -253,7 +257,7 @@
     m_Network.erase(m_Network.begin() + static_cast<std::ptrdiff_t>(Index));
   }
 
-  void loseOrDouble(int Chance) {
+  void loseOrDuplicate(int Chance) {
     if (m_Network.empty())
       return;
     ++m_Faults;
@@ -267,7 +271,7 @@
   bool m_CountUnsettled;
   std::array<WorldBox, BoxCount> m_Boxes;
   std::vector<BoxName> m_Dead;
-  std::vector<Letter> m_Network;
+  std::vector<MessageInFlight> m_Network;
   OrderJournal m_Journal;
   std::uint64_t m_JournalIndex = 0;
   FencingToken m_LastToken = 0;
@@ -296,7 +300,7 @@
 World run(const std::vector<Step> &Steps, bool ChecksTokens,
           bool CountUnsettled) {
   World Result(ChecksTokens, CountUnsettled);
-  // Starts with an owner, so that short sequences do something too.
+  // Starts with an owner, so that short sequences have an effect too.
   Result.step(0, 0, 1);
   for (int Count = 0; Count < 6; ++Count)
     Result.step(4, 0, 1);
@@ -318,10 +322,10 @@
   });
 }
 
-TEST_CASE("The oracle sees overcommits when unsettled orders do not count",
+TEST_CASE("The oracle detects overcommits when unsettled orders do not count",
           "[memory][mutation]") {
   const bool ChecksTokens = GENERATE(true, false);
-  // Three loads of 40 in a row, all sent before any is seen.
+  // Three loads of 40 in a row, all sent before any is reported.
   std::vector<Step> Steps;
   for (int Which = 0; Which < 3; ++Which) {
     Steps.emplace_back(1, Which * 3, 20);
@@ -334,7 +338,7 @@
   REQUIRE(run(Steps, ChecksTokens, true).m_Engine.m_Violations == 0);
 }
 
-TEST_CASE("A quiet engine is asked less often", "[orders]") {
+TEST_CASE("An idle engine is asked for its report less often", "[orders]") {
   EngineOrders Orders({.m_Self = BoxName("a"),
                        .m_Capacity = Capacity,
                        .m_ReportInterval = 1s,
--- a/tests/decisions/process/FleetTopologyTest.cpp
+++ b/tests/decisions/process/FleetTopologyTest.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// \p Count boxes in three data centres; the first of each is a strong one.
+/// \p Count boxes in three data centres; the first of each is strong.
 std::vector<FleetMember> fleetOf(std::size_t Count) {
   std::vector<FleetMember> Result;
   for (std::size_t Number = 0; Number < Count; ++Number)
@@ -52,7 +52,7 @@
   REQUIRE_FALSE(Leaf.relay());
   REQUIRE(Leaf.links().size() == 4);
 
-  SECTION("the order giver stays one though it is weak") {
+  SECTION("the leader stays one although it is weak") {
     FleetTopology Seen = seenBy(Fleet, 59);
     Seen.setLeader(Fleet[59].m_Box);
     REQUIRE(Seen.relay());
@@ -60,8 +60,7 @@
   }
 }
 
-TEST_CASE("No leaf goes first to a relay as weak as itself while it has a "
-          "stronger one",
+TEST_CASE("A leaf prefers a stronger relay to one as weak as itself",
           "[topology]") {
   const auto Fleet = fleetOf(60);
   for (std::size_t Number = 3; Number < Fleet.size(); ++Number) {
@@ -69,7 +68,7 @@
     if (!Leaf.relay())
       REQUIRE(Leaf.links().front() == Fleet[Number % 3].m_Box);
   }
-  SECTION("those of equals are spread over all of them") {
+  SECTION("among boxes of equal capacity, leaves are spread over all relays") {
     std::vector<FleetMember> Equals = Fleet;
     for (FleetMember &Each : Equals)
       Each.m_Capacity = 0.5;
@@ -79,7 +78,7 @@
         First.insert(Seen.links().front());
     REQUIRE(First.size() == 9);
   }
-  SECTION("without it the others take its place") {
+  SECTION("without the strong one, other relays take its place") {
     const std::vector<FleetMember> Weak(Fleet.begin() + 3, Fleet.end());
     const FleetTopology Leaf = seenBy(Weak, Weak.size() - 1);
     REQUIRE(Leaf.links().size() == 4);
@@ -97,7 +96,7 @@
     const FleetTopology A = seenBy(Fleet, First);
     const FleetTopology B = seenBy(Fleet, Second);
     RC_ASSERT(A.relays() == B.relays());
-    // Whoever is no relay reaches one; relays reach each other.
+    // Each leaf is linked to a relay; relays are linked to each other.
     for (const BoxName &Box : A.links())
       RC_ASSERT(A.isRelay(Box));
     RC_ASSERT(Fleet.size() == 1 || !A.links().empty());
--- a/tests/decisions/process/GroupLimiterTest.cpp
+++ b/tests/decisions/process/GroupLimiterTest.cpp
@@ -30,7 +30,7 @@
   REQUIRE_FALSE(Limiter.tryAdmit(Row, at(500ms)));
 }
 
-TEST_CASE("Tokens are charged when they are known", "[limits]") {
+TEST_CASE("Tokens are charged once their number is known", "[limits]") {
   GroupLimiter Limiter({});
   GroupRow Row{.m_Group = groupName(1)};
   Row.m_Limits.m_TokensPerSecond = 100;
--- a/tests/decisions/process/IdempotencyRegistryTest.cpp
+++ b/tests/decisions/process/IdempotencyRegistryTest.cpp
@@ -32,10 +32,10 @@
 struct KeyBox {
   std::unique_ptr<IdempotencyRegistry> m_Registry;
   TimePoint m_LeaseUntil;
-  std::vector<IdempotencyKey> m_InHand;
+  std::vector<IdempotencyKey> m_Unsent;
 };
 
-/// Boxes that own the key's slice one after the other, and a service that
+/// Boxes that own the keys' slices one after the other, and a service that
 /// counts executions.
 class World {
 public:
@@ -101,14 +101,14 @@
         IdempotencyRegistry::Options{.m_Retention = Retention,
                                      .m_ClockSkew = Skew,
                                      .m_CheckAge = m_CheckAge});
-    Box.m_InHand.clear();
+    Box.m_Unsent.clear();
     Box.m_LeaseUntil = TimePoint{};
     if (m_Owner == &Box)
       m_Owner = nullptr;
   }
 
-  /// A new owner is made only when the lease of the old one is over. The old
-  /// one is not told: it may be paused with a request in hand.
+  /// Takes over only when the lease of the old owner is over. The old owner
+  /// does not learn of it: it may be paused with a request yet to send.
   void takeOver(std::size_t Index) {
     if (m_Owner != nullptr && m_Now < m_Owner->m_LeaseUntil)
       return;
@@ -128,14 +128,14 @@
     StoredAnswer Stored;
     if (Box.m_Registry->begin(keyed(Key), m_Now, wall(), Stored) ==
         KeyVerdict::Run)
-      Box.m_InHand.push_back(Key);
+      Box.m_Unsent.push_back(Key);
   }
 
   void execute(KeyBox &Box, int Chance) {
-    if (Box.m_InHand.empty())
+    if (Box.m_Unsent.empty())
       return;
-    const IdempotencyKey Key = Box.m_InHand.back();
-    Box.m_InHand.pop_back();
+    const IdempotencyKey Key = Box.m_Unsent.back();
+    Box.m_Unsent.pop_back();
     if (Chance % 4 == 0) {
       ++m_Faults;
       return Box.m_Registry->notRun(keyed(Key));
@@ -161,7 +161,8 @@
 
 } // namespace
 
-TEST_CASE("A key runs at most once over changes of owner", "[unsafe][proof]") {
+TEST_CASE("A key runs at most once across changes of owner",
+          "[unsafe][proof]") {
   const std::string Point = "5 unsafe, keys over changes of owner";
   rc::prop(Point, [&] {
     const auto Steps = *rc::gen::container<std::vector<Step>>(
@@ -177,8 +178,9 @@
   });
 }
 
-TEST_CASE("The oracle sees a key run twice when its age is not checked",
-          "[unsafe][mutation]") {
+TEST_CASE(
+    "The oracle detects a key that runs twice when its age is not checked",
+    "[unsafe][mutation]") {
   // Run at box 0, take over at box 1 after the lease, submit again, run.
   const std::vector<Step> Steps{{0, 0, 1}, {2, 0, 2}, {6, 0, 79}, {6, 0, 79},
                                 {3, 1, 0}, {1, 1, 0}, {2, 1, 2}};
@@ -195,12 +197,12 @@
   REQUIRE_FALSE(keyMintedAt(IdempotencyKey("booking-1")));
   REQUIRE_FALSE(
       keyMintedAt(IdempotencyKey("zzzzzzzz-zzzz-7000-8000-000000000000")));
-  // Version 4: random, so it shows no time.
+  // Version 4 is random and has no time.
   REQUIRE_FALSE(
       keyMintedAt(IdempotencyKey("018bcfe5-6800-4000-8000-000000000000")));
 }
 
-TEST_CASE("A registry tells what became of a key", "[unsafe]") {
+TEST_CASE("A registry returns the outcome of a key", "[unsafe]") {
   IdempotencyRegistry Registry({.m_Retention = Retention, .m_ClockSkew = Skew});
   for (int Slice = 0; Slice < KeySliceCount; ++Slice)
     Registry.own(Slice, at(0us), WallStart);
--- a/tests/decisions/process/IncarnationTrackerTest.cpp
+++ b/tests/decisions/process/IncarnationTrackerTest.cpp
@@ -4,7 +4,7 @@
 
 using namespace havenstair;
 
-TEST_CASE("Only a later start of a server that was known is a new one",
+TEST_CASE("Only a later incarnation of a known upstream is a restart",
           "[lives]") {
   IncarnationTracker Tracker;
   REQUIRE_FALSE(Tracker.record({.m_Id = "a", .m_Born = 100}));
@@ -16,7 +16,7 @@
   REQUIRE(Tracker.newest("a") == 200);
 }
 
-TEST_CASE("A word of an earlier start is not believed", "[lives]") {
+TEST_CASE("Messages of an earlier incarnation are ignored", "[lives]") {
   IncarnationTracker Tracker;
   Tracker.record({.m_Id = "a", .m_Born = 200});
   REQUIRE_FALSE(Tracker.isCurrent({.m_Id = "a", .m_Born = 199}));
--- a/tests/decisions/process/LateOrdersTest.cpp
+++ b/tests/decisions/process/LateOrdersTest.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-TEST_CASE("A late load counts until the engine's count has passed it",
+TEST_CASE("A late load counts until the engine's order count has passed it",
           "[orders][lives]") {
   LateOrders Late;
   Late.add(load("a"), 0, at(0s));
@@ -24,7 +24,7 @@
   REQUIRE(Late.loads(3).empty());
 }
 
-TEST_CASE("An order sent twice counts once, until the later call is too late",
+TEST_CASE("An order sent twice counts once, until the later call is too old",
           "[orders][lives]") {
   LateOrders Late;
   Late.add(load("a"), 0, at(0s));
--- a/tests/decisions/process/LatencyModelTest.cpp
+++ b/tests/decisions/process/LatencyModelTest.cpp
@@ -16,7 +16,7 @@
   REQUIRE(Expected == Approx(4000 * True).epsilon(0.2));
 }
 
-TEST_CASE("A slow engine is told from a slow model", "[latency]") {
+TEST_CASE("A slow engine is distinguished from a slow model", "[latency]") {
   LatencyModel Model;
   for (int Round = 0; Round < 300; ++Round) {
     const bool Slow = Round % 3 == 0;
@@ -42,7 +42,7 @@
   });
 }
 
-TEST_CASE("The time that answers take a slot is learned by model",
+TEST_CASE("The time for which answers take a slot is learned by model",
           "[latency]") {
   LatencyModel Model;
   const double Before = Model.holdMs("long");
--- a/tests/decisions/process/LeaderViewTest.cpp
+++ b/tests/decisions/process/LeaderViewTest.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST_CASE("A holder goes on while a majority vouches for it", "[holder]") {
+TEST_CASE("A leader goes on while a majority confirms it", "[holder]") {
   LeaderView View = viewOf(0, 5);
   View.observeTerm(First, at(0s));
   REQUIRE_FALSE(View.confirmedByMajority(at(1s)));
@@ -34,7 +34,8 @@
   REQUIRE_FALSE(View.confirmedByMajority(at(3s)));
 }
 
-TEST_CASE("One word of a newer holder ends the older one", "[holder]") {
+TEST_CASE("One report of a newer leader ends the older one's term",
+          "[holder]") {
   LeaderView View = viewOf(0, 3);
   View.observeTerm(First, at(0s));
   View.receiveReport(boxName(2), Second, false, at(1s), at(1s));
@@ -44,7 +45,7 @@
   REQUIRE(View.leader() == Second);
 }
 
-TEST_CASE("A holder that is heard is not replaced", "[holder]") {
+TEST_CASE("A leader that reports is not replaced", "[holder]") {
   LeaderView View = viewOf(1, 3);
   View.observeTerm(First, at(0s));
   REQUIRE_FALSE(View.leaderActive(at(2s)));
@@ -55,7 +56,7 @@
   REQUIRE_FALSE(View.leaderActive(at(3s)));
 }
 
-TEST_CASE("Words that waited while the process stood still do not count",
+TEST_CASE("Reports that waited during a pause of the process do not count",
           "[holder]") {
   LeaderView View = viewOf(0, 3);
   View.observeTerm(First, at(0s));
@@ -69,7 +70,7 @@
   REQUIRE(View.confirmedByMajority(at(5s) + 400ms));
 }
 
-TEST_CASE("Two boxes never both go on: their majorities share a box",
+TEST_CASE("Two boxes never lead at once, as their majorities share a box",
           "[holder][property]") {
   rc::prop("one holder", [] {
     const int Boxes = *drawn(2, 9);
@@ -78,7 +79,7 @@
       Views.push_back(viewOf(Self, Boxes));
     Views[0].observeTerm(First, at(0s));
     Views[1].observeTerm(Second, at(0s));
-    // Words travel over any links, in any order, for a while.
+    // Reports travel over any links, in any order, for a while.
     for (int Step = 0; Step < *drawn(0, 60); ++Step) {
       const auto From = static_cast<std::size_t>(*drawn(0, Boxes));
       const auto To = static_cast<std::size_t>(*drawn(0, Boxes));
@@ -86,7 +87,8 @@
         Views[To].receiveReport(boxName(static_cast<int>(From)),
                                 Views[From].leader(), false, at(1s), at(1s));
     }
-    // The second hears a majority before it gives orders, and tells it.
+    // The second box reaches a majority, and reports its term to it, before it
+    // gives orders.
     int Notified = 0;
     for (int Index = 0; Index < Boxes && 2 * (Notified + 1) <= Boxes; ++Index)
       if (Index != 1) {
@@ -94,7 +96,7 @@
             boxName(1), Second, true, at(2s), at(2s));
         ++Notified;
       }
-    // From now on only fresh words count for the first.
+    // From now on only fresh reports count for the first box.
     for (int Index = 1; Index < Boxes; ++Index)
       if (*rc::gen::arbitrary<bool>())
         Views[0].receiveReport(boxName(Index),
@@ -104,23 +106,23 @@
   });
 }
 
-TEST_CASE("A new holder is not replaced before it can have been heard",
+TEST_CASE("A new leader is not replaced before its first report can arrive",
           "[holder]") {
   LeaderView View = viewOf(1, 3);
   View.observeTerm(First, at(5s));
   REQUIRE(View.leaderActive(at(6s)));
   REQUIRE_FALSE(View.leaderActive(at(7s)));
-  SECTION("unless it has said that it stopped") {
+  SECTION("unless it has reported that it stopped") {
     View.receiveReport(boxName(0), First, false, at(5s) + 100ms,
                        at(5s) + 100ms);
     REQUIRE_FALSE(View.leaderActive(at(5s) + 200ms));
   }
 }
 
-TEST_CASE("Words that a link held up do not vouch", "[holder]") {
+TEST_CASE("Reports that a link delayed do not confirm the leader", "[holder]") {
   LeaderView View = viewOf(0, 5);
   View.observeTerm(First, at(0s));
-  // A cut ends: what was said before it comes first, from all at once.
+  // A partition ends: what was sent before it arrives first, from all at once.
   View.receiveReport(boxName(2), First, false, at(3s), at(9s));
   View.receiveReport(boxName(3), First, false, at(3s), at(9s));
   REQUIRE_FALSE(View.confirmedByMajority(at(9s)));
--- a/tests/decisions/process/LeaseKeeperTest.cpp
+++ b/tests/decisions/process/LeaseKeeperTest.cpp
@@ -24,7 +24,7 @@
   REQUIRE_FALSE(Keeper.held(at(95ms)));
 }
 
-TEST_CASE("One call is on its way at a time", "[lease]") {
+TEST_CASE("One call is under way at a time", "[lease]") {
   LeaseKeeper Keeper = makeKeeper();
   REQUIRE(Keeper.tick(at(0us)).has_value());
   REQUIRE_FALSE(Keeper.tick(at(10ms)).has_value());
@@ -33,7 +33,7 @@
   REQUIRE(Keeper.tick(at(50ms)).has_value());
 }
 
-TEST_CASE("A box never believes in a lease that the platform has ended",
+TEST_CASE("A box never counts on a lease that the platform has ended",
           "[lease][proof]") {
   const std::string Point = "leases, belief against the platform's clock";
   rc::prop(Point, [&] {
@@ -47,7 +47,7 @@
     for (const auto &[Command, Size] : Steps) {
       const TimePoint SentAt = Now;
       const auto Action = Keeper.tick(Now);
-      // The call travels, and may be onLost on its way there or back.
+      // The call takes time, and may be lost in either direction.
       Now += std::chrono::milliseconds(Size / 2);
       if (Action) {
         const bool Renews = std::holds_alternative<RenewLease>(*Action);
--- a/tests/decisions/process/LoadRateLimiterTest.cpp
+++ b/tests/decisions/process/LoadRateLimiterTest.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// A load as the store of weights sees it: it begins at some time between the
-/// sending of its order and the word that settles it.
+/// sending of its order and the message that settles it.
 struct OpenLoad {
   TimePoint m_Begins{};
   TimePoint m_Settles{};
@@ -28,9 +28,9 @@
 
 } // namespace
 
-TEST_CASE("No window sees more loads begin than the bound, however late each "
-          "begins",
-          "[ceiling][property]") {
+TEST_CASE(
+    "No window has more starts than the bound, however late each load begins",
+    "[ceiling][property]") {
   rc::prop("bounded", [] {
     LoadRateLimiter Limiter;
     const double PerSecond = *drawn(2, 40) / 10.0;
@@ -76,7 +76,7 @@
   REQUIRE(Limiter.available(at(66s)) == 2);
 }
 
-TEST_CASE("What is settled twice, or was never ordered, counts once at most",
+TEST_CASE("A load settled twice, or never ordered, counts at most once",
           "[ceiling]") {
   LoadRateLimiter Limiter;
   Limiter.configure({.m_LoadsPerS = 0.4, .m_Window = 5s, .m_Slack = 0});
@@ -89,13 +89,13 @@
   REQUIRE(Limiter.available(at(6s) + 1ms) == 2);
 }
 
-TEST_CASE("A new order giver begins with a used-up window", "[ceiling]") {
+TEST_CASE("A new leader starts with a used-up window", "[ceiling]") {
   LoadRateLimiter Limiter;
   SECTION("the bound is known before") {
     Limiter.configure({.m_LoadsPerS = 2, .m_Window = 5s, .m_Slack = 0});
     Limiter.assumeFullWindow(at(10s));
   }
-  SECTION("the bound becomes known only then") {
+  SECTION("the bound becomes known only afterwards") {
     Limiter.assumeFullWindow(at(10s));
     Limiter.configure({.m_LoadsPerS = 2, .m_Window = 5s, .m_Slack = 0});
   }
@@ -104,14 +104,13 @@
   REQUIRE(Limiter.available(at(15s) + 1ms) == 10);
 }
 
-TEST_CASE("The slack of the bound is used but for one load", "[ceiling]") {
+TEST_CASE("All of the slack but one load is used", "[ceiling]") {
   LoadRateLimiter Limiter;
   Limiter.configure({.m_LoadsPerS = 1.6, .m_Window = 5s, .m_Overage = 1.1});
   REQUIRE(Limiter.available(at(0s)) == 10);
 }
 
-TEST_CASE("Loads of the former order giver that are known count by number",
-          "[ceiling]") {
+TEST_CASE("Known loads of the former leader count by number", "[ceiling]") {
   LoadRateLimiter Limiter;
   Limiter.configure({.m_LoadsPerS = 2, .m_Window = 5s, .m_Slack = 0});
   Limiter.assumeFullWindow(at(10s));
--- a/tests/decisions/process/LoadTrackerTest.cpp
+++ b/tests/decisions/process/LoadTrackerTest.cpp
@@ -4,7 +4,7 @@
 
 using namespace havenstair;
 
-TEST_CASE("Loads come back to nothing when all requests have ended",
+TEST_CASE("Loads return to zero when all requests have ended",
           "[load][property]") {
   rc::prop("balanced", [] {
     LoadTracker Tracker;
@@ -22,7 +22,7 @@
   });
 }
 
-TEST_CASE("The word of a silent box fades away", "[load]") {
+TEST_CASE("The report of a silent box expires", "[load]") {
   LoadTracker Tracker;
   Tracker.receiveLoads(boxName(1), {{"a", {.m_Running = 3, .m_PendingMs = 90}}},
                        at(1s));
@@ -34,7 +34,7 @@
   REQUIRE(Tracker.load("a", at(1s)).m_Running == 0);
 }
 
-TEST_CASE("Changes lead another box to the same picture", "[load][property]") {
+TEST_CASE("Changes bring another box to the same state", "[load][property]") {
   rc::prop("deltas", [] {
     LoadTracker Sender;
     LoadTracker Receiver;
@@ -48,7 +48,7 @@
       else
         Sender.onEnded(Id, 1);
       Receiver.receiveChanges(boxName(1), Sender.takeChanges(), at(1s));
-      // What was not worth telling is the only difference.
+      // Changes that are too small to publish are the only difference.
       for (const InstanceId &Each : Names) {
         const double Known = Receiver.load(Each, at(1s)).m_PendingMs;
         const double True = Sender.load(Each, at(1s)).m_PendingMs;
@@ -58,7 +58,7 @@
   });
 }
 
-TEST_CASE("Totals of a relay count this box's own loads once",
+TEST_CASE("A relay's aggregate counts this box's own loads once",
           "[load][property]") {
   rc::prop("totals", [] {
     LoadTracker Leaf;
@@ -95,8 +95,9 @@
   });
 }
 
-TEST_CASE("Totals that are older than what this box has told are no debt",
-          "[load]") {
+TEST_CASE(
+    "An aggregate older than this box's last report gives no negative load",
+    "[load]") {
   LoadTracker Leaf;
   Leaf.receiveAggregate(boxName(1), {{"a", {.m_Running = 1}}}, true, at(1s));
   Leaf.onSent("a", 10, 1);
