--- /dev/null
+++ b/tests/decisions/process/CrashTrackerTest.cpp
@@ -0,0 +1,361 @@
+#include "decisions/process/CrashTracker.h"
+
+#include <algorithm>
+#include <catch2/catch.hpp>
+#include <map>
+#include <random>
+#include <set>
+#include <string>
+#include <vector>
+
+using namespace havenstair;
+
+namespace {
+
+const RequestDigest Bad("bad");
+const RequestDigest Beside("beside");
+const BoxName Box("box");
+
+/// A tracker and the time that is passed to it.
+struct TrackerTest {
+  CrashTracker m_Tracker;
+  TimePoint m_Now = TimePoint(100s);
+  int m_Servers = 0;
+
+  /// One more upstream crashes while it runs \p Running; all reports of it
+  /// arrive.
+  void crash(const std::vector<RequestDigest> &Running) {
+    m_Tracker.recordCrash({.m_Id = "i-" + std::to_string(++m_Servers)}, Running,
+                          m_Now);
+    m_Now += 200ms;
+  }
+
+  std::vector<RequestDigest> quarantineSuspects() {
+    return m_Tracker.quarantineSuspects(Box, m_Now);
+  }
+  bool quarantined(const RequestDigest &Request) const {
+    return m_Tracker.findQuarantine(Request, m_Now) != nullptr;
+  }
+};
+
+} // namespace
+
+TEST_CASE("A request is quarantined after it crashed three upstreams",
+          "[crash][decisions]") {
+  TrackerTest Test;
+  Test.crash({Bad});
+  Test.crash({Bad});
+  REQUIRE(Test.quarantineSuspects().empty());
+  REQUIRE(Test.m_Tracker.isSuspect(Bad, Test.m_Now));
+  Test.crash({Bad});
+  REQUIRE(Test.quarantineSuspects() == std::vector{Bad});
+  REQUIRE(Test.quarantined(Bad));
+  REQUIRE(Test.m_Tracker.findQuarantine(Bad, Test.m_Now)->m_Servers.size() ==
+          3);
+  REQUIRE(Test.m_Tracker.findQuarantine(Bad, Test.m_Now)->m_By == Box);
+}
+
+TEST_CASE("Reports of several boxes about one crash count once",
+          "[crash][decisions]") {
+  TrackerTest Test;
+  for (int Report = 0; Report < 5; ++Report)
+    Test.m_Tracker.recordCrash({.m_Id = "i-1"}, {Bad}, Test.m_Now);
+  REQUIRE(Test.m_Tracker.crashCount(Bad, Test.m_Now) == 1);
+  SECTION("and a crash of a later incarnation is another one") {
+    Test.m_Tracker.recordCrash({.m_Id = "i-1", .m_Born = 5}, {Bad}, Test.m_Now);
+    REQUIRE(Test.m_Tracker.crashCount(Bad, Test.m_Now) == 2);
+  }
+}
+
+TEST_CASE("No request is quarantined while reports may still arrive",
+          "[crash][decisions]") {
+  TrackerTest Test;
+  Test.crash({Bad, Beside});
+  Test.crash({Bad, Beside});
+  const UpstreamLife Last{.m_Id = "last"};
+  Test.m_Tracker.recordCrash(Last, {Beside}, Test.m_Now);
+  REQUIRE(Test.quarantineSuspects().empty());
+  const auto DecisionTime = Test.m_Tracker.decisionTime(Beside, Test.m_Now);
+  REQUIRE(DecisionTime);
+  REQUIRE(Test.m_Tracker.nextDecisionTime(Test.m_Now) == DecisionTime);
+  SECTION("so a late report counts") {
+    Test.m_Tracker.recordCrash(Last, {Bad}, *DecisionTime - 1ms);
+    Test.m_Now = *DecisionTime + 200ms;
+    REQUIRE(Test.quarantineSuspects().empty());
+    Test.crash({Bad});
+    REQUIRE(Test.quarantineSuspects() == std::vector{Bad});
+  }
+  SECTION("and afterwards it is") {
+    Test.m_Now = *DecisionTime;
+    REQUIRE_FALSE(Test.m_Tracker.nextDecisionTime(Test.m_Now));
+    REQUIRE(Test.quarantineSuspects() == std::vector{Beside});
+  }
+}
+
+TEST_CASE("A request that ran beside the crashing one each time is not "
+          "quarantined instead",
+          "[crash][decisions]") {
+  TrackerTest Test;
+  for (int Crash = 0; Crash < 3; ++Crash)
+    Test.crash({Bad, Beside});
+  REQUIRE(Test.quarantineSuspects().empty());
+  SECTION("one more crash without it tells them apart") {
+    Test.crash({Bad});
+    REQUIRE(Test.quarantineSuspects() == std::vector{Bad});
+    REQUIRE_FALSE(Test.quarantined(Beside));
+    REQUIRE(Test.m_Tracker.crashCount(Beside, Test.m_Now) == 0);
+    SECTION("and crashes beside a quarantined request no longer count") {
+      Test.crash({Bad, Beside});
+      REQUIRE(Test.quarantineSuspects().empty());
+    }
+  }
+  SECTION("so does one that runs to completion") {
+    REQUIRE(Test.m_Tracker.recordCompletion(Beside, Test.m_Now));
+    REQUIRE(Test.quarantineSuspects() == std::vector{Bad});
+  }
+  SECTION("and when nothing does, both are quarantined at the fifth crash") {
+    Test.crash({Bad, Beside});
+    REQUIRE(Test.quarantineSuspects().empty());
+    Test.crash({Bad, Beside});
+    REQUIRE(Test.quarantineSuspects().size() == 2);
+  }
+}
+
+TEST_CASE("Each of several crashing requests is found", "[crash][decisions]") {
+  TrackerTest Test;
+  const RequestDigest Other("other");
+  for (int Crash = 0; Crash < 3; ++Crash) {
+    Test.crash({Bad, Beside});
+    Test.crash({Other});
+  }
+  Test.crash({Bad});
+  REQUIRE(Test.quarantineSuspects().size() == 2);
+  REQUIRE(Test.quarantined(Bad));
+  REQUIRE(Test.quarantined(Other));
+}
+
+TEST_CASE("A request that ran to completion is blamed for no crash",
+          "[crash][decisions]") {
+  TrackerTest Test;
+  SECTION("shortly before the crashes") {
+    Test.m_Tracker.recordCompletion(Bad, Test.m_Now);
+    const auto Result =
+        Test.m_Tracker.recordCrash({.m_Id = "i"}, {Bad}, Test.m_Now);
+    REQUIRE(Result.m_Completed == std::vector{Bad});
+    REQUIRE_FALSE(Result.m_New);
+    for (int Crash = 0; Crash < 5; ++Crash)
+      Test.crash({Bad});
+  }
+  SECTION("between the crashes") {
+    Test.crash({Bad});
+    Test.crash({Bad});
+    REQUIRE(Test.m_Tracker.recordCompletion(Bad, Test.m_Now));
+    Test.crash({Bad});
+  }
+  REQUIRE(Test.quarantineSuspects().empty());
+}
+
+TEST_CASE(
+    "A quarantine is lifted when the request runs to completion after all",
+    "[crash][decisions]") {
+  TrackerTest Test;
+  for (int Crash = 0; Crash < 3; ++Crash)
+    Test.crash({Bad});
+  Test.quarantineSuspects();
+  REQUIRE(Test.m_Tracker.recordCompletion(Bad, Test.m_Now));
+  REQUIRE_FALSE(Test.quarantined(Bad));
+  REQUIRE(Test.quarantineSuspects().empty());
+}
+
+TEST_CASE("A lifted quarantine is not taken over again from a box that missed "
+          "the lifting",
+          "[crash][decisions]") {
+  TrackerTest Test;
+  for (int Crash = 0; Crash < 3; ++Crash)
+    Test.crash({Bad});
+  Test.quarantineSuspects();
+  const RequestQuarantine Lifted =
+      *Test.m_Tracker.findQuarantine(Bad, Test.m_Now);
+  Test.m_Tracker.recordCompletion(Bad, Test.m_Now);
+  Test.m_Now += 60s;
+  REQUIRE(Test.m_Tracker.wasLifted(Bad));
+  REQUIRE_FALSE(Test.m_Tracker.adopt(Bad, Lifted, Test.m_Now));
+  SECTION("but later crashes count") {
+    for (int Crash = 0; Crash < 3; ++Crash)
+      Test.crash({Bad});
+    REQUIRE(Test.quarantineSuspects() == std::vector{Bad});
+    REQUIRE_FALSE(Test.m_Tracker.wasLifted(Bad));
+  }
+}
+
+TEST_CASE("A quarantine expires, and one more crash renews it",
+          "[crash][decisions]") {
+  TrackerTest Test;
+  for (int Crash = 0; Crash < 3; ++Crash)
+    Test.crash({Bad});
+  Test.quarantineSuspects();
+  Test.m_Now += CrashTracker::Options{}.m_QuarantineDuration;
+  Test.m_Tracker.prune(Test.m_Now);
+  REQUIRE_FALSE(Test.quarantined(Bad));
+  SECTION(
+      "a report of it from a box that learned of it later does not renew it") {
+    RequestQuarantine Late{.m_Until = Test.m_Now + 60s};
+    REQUIRE_FALSE(Test.m_Tracker.adopt(Bad, Late, Test.m_Now));
+  }
+  Test.crash({Bad, Beside});
+  REQUIRE(Test.quarantineSuspects() == std::vector{Bad});
+}
+
+TEST_CASE("A quarantine that another box reports is taken over once",
+          "[crash][decisions]") {
+  TrackerTest Test;
+  const RequestQuarantine Reported{.m_Servers = {"i-1"},
+                                   .m_By = BoxName("other"),
+                                   .m_Since = Test.m_Now - 60s,
+                                   .m_Until = TimePoint::max()};
+  REQUIRE(Test.m_Tracker.adopt(Bad, Reported, Test.m_Now));
+  REQUIRE_FALSE(Test.m_Tracker.adopt(Bad, Reported, Test.m_Now));
+  REQUIRE(Test.m_Tracker.findQuarantine(Bad, Test.m_Now)->m_By ==
+          BoxName("other"));
+  REQUIRE(Test.m_Tracker.findQuarantine(Bad, Test.m_Now)->m_Until <=
+          Test.m_Now + CrashTracker::Options{}.m_QuarantineDuration);
+}
+
+TEST_CASE("A request that operators release is not quarantined",
+          "[crash][decisions]") {
+  TrackerTest Test;
+  for (int Crash = 0; Crash < 3; ++Crash)
+    Test.crash({Bad});
+  Test.quarantineSuspects();
+  Test.m_Tracker.setReleased({Bad});
+  REQUIRE_FALSE(Test.quarantined(Bad));
+  for (int Crash = 0; Crash < 5; ++Crash)
+    Test.crash({Bad});
+  REQUIRE(Test.quarantineSuspects().empty());
+  Test.m_Tracker.setReleased({});
+  REQUIRE_FALSE(Test.quarantineSuspects().empty());
+}
+
+TEST_CASE("A box that saw a suspect run to completion says so",
+          "[crash][decisions]") {
+  TrackerTest Test;
+  Test.m_Tracker.recordCompletion(Beside, Test.m_Now);
+  REQUIRE(Test.m_Tracker.addSuspect(Beside, Test.m_Now));
+  REQUIRE_FALSE(Test.m_Tracker.isSuspect(Beside, Test.m_Now));
+  REQUIRE_FALSE(Test.m_Tracker.addSuspect(Bad, Test.m_Now));
+  REQUIRE(Test.m_Tracker.isSuspect(Bad, Test.m_Now));
+  REQUIRE(Test.m_Tracker.recordCompletion(Bad, Test.m_Now));
+}
+
+TEST_CASE("Quarantining thousands of requests keeps the memory bounds",
+          "[crash][decisions]") {
+  TrackerTest Test;
+  const CrashTracker::Options Bounds;
+  for (std::size_t Number = 0; Number < 2 * Bounds.m_MaxQuarantines; ++Number) {
+    const RequestDigest Each("d" + std::to_string(Number));
+    for (int Crash = 0; Crash < 3; ++Crash)
+      Test.crash({Each});
+    REQUIRE(Test.quarantineSuspects() == std::vector{Each});
+  }
+  REQUIRE(Test.m_Tracker.quarantines().size() <= Bounds.m_MaxQuarantines);
+}
+
+namespace {
+
+/// \returns how many of \p Contents harmless requests are quarantined when a
+/// tenth of 100 upstreams crash at once, twice. Each request is sent up to \p
+/// MostRuns times at once, and once more when all of these are lost.
+std::size_t quarantinedAmongCorrelatedCrashes(std::mt19937_64 &Random,
+                                              int Contents, int MostRuns) {
+  TrackerTest Test;
+  const auto Draw = [&](int Below) {
+    return std::uniform_int_distribution<int>(0, Below - 1)(Random);
+  };
+  for (int Correlated = 0; Correlated < 2; ++Correlated) {
+    std::map<int, std::vector<RequestDigest>> Lost;
+    std::set<RequestDigest> RanWell;
+    for (int Content = 0; Content < Contents; ++Content) {
+      const RequestDigest Each(std::to_string(Content));
+      for (int Runs = 1 + Draw(MostRuns); Runs > 0; --Runs)
+        if (const int Server = Draw(100); Server < 10)
+          Lost[Server].push_back(Each);
+        else
+          RanWell.insert(Each);
+    }
+    for (const auto &[Server, Running] : Lost)
+      Test.m_Tracker.recordCrash(
+          {.m_Id = std::to_string(100 * Correlated + Server)}, Running,
+          Test.m_Now += 20ms);
+    for (const RequestDigest &Each : RanWell)
+      Test.m_Tracker.recordCompletion(Each, Test.m_Now);
+    Test.m_Now += 5s;
+    Test.quarantineSuspects();
+  }
+  return Test.m_Tracker.quarantines().size();
+}
+
+} // namespace
+
+TEST_CASE(
+    "Correlated crashes quarantine fewer than one harmless request in 1,000",
+    "[crash][decisions]") {
+  std::mt19937_64 Random(20261203);
+  const int MostRuns = GENERATE(1, 2, 4, 20);
+  std::size_t Quarantined = 0;
+  constexpr int Draws = 100;
+  constexpr int Contents = 400;
+  for (int Number = 0; Number < Draws; ++Number)
+    Quarantined +=
+        quarantinedAmongCorrelatedCrashes(Random, Contents, MostRuns);
+  CAPTURE(MostRuns, Quarantined);
+  REQUIRE(Quarantined * 1000 < std::size_t{Draws} * Contents);
+}
+
+TEST_CASE("A request that crashes upstreams within a second is not excused as "
+          "correlated",
+          "[crash][decisions]") {
+  TrackerTest Test;
+  for (int Crash = 0; Crash < 3; ++Crash)
+    Test.m_Tracker.recordCrash({.m_Id = std::to_string(Crash)}, {Bad},
+                               Test.m_Now += 50ms);
+  Test.m_Now += 200ms;
+  REQUIRE(Test.quarantineSuspects() == std::vector{Bad});
+}
+
+TEST_CASE(
+    "A request is quarantined after five crashes whatever else was running",
+    "[crash][decisions]") {
+  TrackerTest Test;
+  const RequestDigest Other("other");
+  for (int Crash = 0; Crash < 5; ++Crash) {
+    REQUIRE(Test.quarantineSuspects().empty());
+    Test.m_Tracker.recordCrash({.m_Id = std::to_string(Crash)},
+                               {Bad, Beside, Other}, Test.m_Now);
+    for (int Correlated = 0; Correlated < 3; ++Correlated)
+      Test.m_Tracker.recordCrash(
+          {.m_Id = std::to_string(10 * Crash + Correlated + 10)}, {Other},
+          Test.m_Now);
+    Test.m_Now += 100ms;
+    Test.m_Tracker.recordCompletion(Other, Test.m_Now - 20s);
+  }
+  REQUIRE_FALSE(Test.quarantineSuspects().empty());
+  REQUIRE(Test.quarantined(Bad));
+}
+
+TEST_CASE("Crashing requests hidden among correlated crashes are found when "
+          "they come again",
+          "[crash][decisions]") {
+  TrackerTest Test;
+  for (int Crash = 0; Crash < 12; ++Crash)
+    Test.m_Tracker.recordCrash(
+        {.m_Id = std::to_string(Crash)},
+        {Crash % 4 == 0 ? Bad : Beside, RequestDigest(std::to_string(Crash))},
+        Test.m_Now);
+  Test.m_Tracker.recordCompletion(Beside, Test.m_Now);
+  Test.m_Now += 2s;
+  REQUIRE(Test.quarantineSuspects().empty());
+  Test.crash({Bad});
+  Test.m_Now += 2s;
+  Test.crash({Bad});
+  REQUIRE(Test.quarantineSuspects() == std::vector{Bad});
+}
--- a/tests/decisions/process/GroupLimiterTest.cpp
+++ b/tests/decisions/process/GroupLimiterTest.cpp
@@ -11,7 +11,7 @@
     const int Boxes = *drawn(1, 50);
     int Sum = 0;
     for (int Index = 0; Index < Boxes; ++Index)
-      Sum += concurrencyPart(Whole, {.m_Index = Index, .m_Boxes = Boxes});
+      Sum += concurrencyShare(Whole, {.m_Index = Index, .m_Boxes = Boxes});
     RC_ASSERT(Sum == Whole);
   });
 }
@@ -30,7 +30,7 @@
   REQUIRE_FALSE(Limiter.tryAdmit(Row, at(500ms)));
 }
 
-TEST_CASE("Tokens are charged when they are known", "[limits]") {
+TEST_CASE("Tokens are charged once their number is known", "[limits]") {
   GroupLimiter Limiter({});
   GroupRow Row{.m_Group = groupName(1)};
   Row.m_Limits.m_TokensPerSecond = 100;
--- a/tests/decisions/request/ReplicaChoiceTest.cpp
+++ b/tests/decisions/request/ReplicaChoiceTest.cpp
@@ -23,10 +23,10 @@
 }
 
 struct UpstreamStats {
-  LoadBook m_Loads;
+  LoadTracker m_Loads;
   PrefixIndex m_Prefixes{1e6};
   LatencyModel m_Latency;
-  FailureBook m_Failures;
+  FailureTracker m_Failures;
   DataCentreMap m_DataCentres;
   WarmUpView m_WarmUp;
   ServerWords m_Words;
@@ -55,7 +55,7 @@
 TEST_CASE("The upstream with less work ahead is chosen", "[choice]") {
   UpstreamStats Stats;
   const auto A = engine("a"), B = engine("b");
-  Stats.m_Loads.sent("a", 500, 100);
+  Stats.m_Loads.onSent("a", 500, 100);
   REQUIRE(Stats.choose({&A, &B}, prompt(0, 100))->m_Instance == &B);
 }
 
@@ -63,8 +63,8 @@
           "[choice]") {
   UpstreamStats Stats;
   const auto A = engine("a"), B = engine("b");
-  Stats.m_Loads.told(boxName(1), {{"a", {.m_Running = 1, .m_PendingMs = 500}}},
-                     at(900ms));
+  Stats.m_Loads.receiveLoads(
+      boxName(1), {{"a", {.m_Running = 1, .m_PendingMs = 500}}}, at(900ms));
   REQUIRE(Stats.choose({&A, &B}, prompt(0, 100))->m_Instance == &B);
 }
 
@@ -103,7 +103,7 @@
   UpstreamStats Stats;
   const auto A = engine("a"), B = engine("b", "z");
   REQUIRE(Stats.choose({&A, &B}, prompt(0, 100))->m_Instance == &A);
-  Stats.m_Failures.unreachable("a", at(1s));
+  Stats.m_Failures.recordUnreachable("a", at(1s));
   REQUIRE(Stats.choose({&A, &B}, prompt(0, 100))->m_Instance == &B);
   REQUIRE(Stats.m_Failures.rate("a", at(60s)) < 0.01);
 }
@@ -113,7 +113,7 @@
   UpstreamStats Stats;
   const auto A = engine("a"), B = engine("b", "z");
   for (int Count = 0; Count < 10; ++Count)
-    Stats.m_Loads.sent("a", 0, 100);
+    Stats.m_Loads.onSent("a", 0, 100);
   REQUIRE(Stats.choose({&A, &B}, prompt(0, 30000))->m_Instance == &B);
 }
 
@@ -134,9 +134,9 @@
   REQUIRE(Cost(Far) - Cost(Own) == Approx(Weights.m_OtherRegionMs));
   REQUIRE(Cost(Unknown) == Approx(Cost(Near)));
   SECTION("the upstream in the own region is chosen while it costs less") {
-    Stats.m_Loads.sent("near", 10, 10);
+    Stats.m_Loads.onSent("near", 10, 10);
     REQUIRE(Stats.choose({&Near, &Far}, Plain)->m_Instance == &Near);
-    Stats.m_Loads.sent("near", 10000, 10);
+    Stats.m_Loads.onSent("near", 10000, 10);
     REQUIRE(Stats.choose({&Near, &Far}, Plain)->m_Instance == &Far);
   }
 }
@@ -160,9 +160,9 @@
   const auto Chosen = [&] {
     return Stats.choose({&Cold, &Warm}, prompt(0, 10))->m_Instance->m_Id;
   };
-  Stats.m_Loads.sent("warm", 60, 10);
+  Stats.m_Loads.onSent("warm", 60, 10);
   REQUIRE(Chosen() == "warm");
-  Stats.m_Loads.sent("warm", 120, 10);
+  Stats.m_Loads.onSent("warm", 120, 10);
   REQUIRE(Chosen() == "cold");
   Stats.m_Bounds.noteBusy("cold", at(1s) + 900ms, at(1s));
   REQUIRE(Chosen() == "warm");
@@ -180,7 +180,7 @@
     return *Stats.choose({&Limited, &Unlimited}, prompt(0, 10));
   };
   REQUIRE(Chosen().m_Instance == &Unlimited);
-  Stats.m_Loads.sent("unlimited", 20, 10);
+  Stats.m_Loads.onSent("unlimited", 20, 10);
   REQUIRE(Chosen().m_Instance == &Limited);
   REQUIRE(Chosen().m_Limited);
   REQUIRE(Chosen().m_PermitSavingMs.value() > 0);
