--- a/bench/Simulation.cpp
+++ b/bench/Simulation.cpp
@@ -170,7 +170,7 @@
     if (!Left.empty() && Item->m_Attempts < MaxAttempts) {
       const UpstreamName Chosen =
           *m_Rules.m_Routing(Left, Item->m_Arrival.m_Conversation);
-      Known.noteSent(Chosen);
+      Known.recordSent(Chosen);
       return offer(Item, Chosen);
     }
     if (Left.empty() && m_Rules.m_LoadOnDemand)
--- a/packages/decisions/process/CrashBook.cpp
+++ b/packages/decisions/process/CrashBook.cpp
@@ -33,7 +33,7 @@
 
 } // namespace
 
-CrashBook::Heard CrashBook::crashed(const UpstreamLife &Server,
+CrashBook::Heard CrashBook::crashed(const UpstreamIncarnation &Server,
                                     const std::vector<RequestDigest> &Running,
                                     TimePoint Now) {
   Heard Result;
@@ -81,7 +81,7 @@
 /// that did is not to blame for any of the ends.
 void CrashBook::clear(const RequestDigest &Request) {
   if (const auto Found = m_Under.find(Request); Found != m_Under.end()) {
-    for (const UpstreamLife &Server : Found->second)
+    for (const UpstreamIncarnation &Server : Found->second)
       m_Crashes.at(Server).m_Running.erase(Request);
     m_Under.erase(Found);
   }
@@ -118,7 +118,7 @@
   const auto Found = m_Under.find(Request);
   if (Found == m_Under.end())
     return Result;
-  for (const UpstreamLife &Server : Found->second) {
+  for (const UpstreamIncarnation &Server : Found->second) {
     const Crash &Of = m_Crashes.at(Server);
     if (Now - Of.m_At < m_Opts.m_Remembers && !explained(Of, Request, Now))
       Result.push_back(&Of);
@@ -222,7 +222,7 @@
                     TimePoint Now) {
   RequestBar Bar{
       .m_By = By, .m_Since = Now, .m_Until = Now + m_Opts.m_BarredFor};
-  for (const UpstreamLife &Server : m_Under.at(Request))
+  for (const UpstreamIncarnation &Server : m_Under.at(Request))
     if (Bar.m_Servers.size() < MostNamed)
       Bar.m_Servers.push_back(Server.m_Id);
   insertBar(Request, std::move(Bar));
@@ -258,7 +258,7 @@
     clear(Each);
 }
 
-void CrashBook::forgetCrash(const UpstreamLife &Server) {
+void CrashBook::forgetCrash(const UpstreamIncarnation &Server) {
   const auto Found = m_Crashes.find(Server);
   for (const RequestDigest &Each : Found->second.m_Running) {
     const auto Under = m_Under.find(Each);
@@ -270,11 +270,11 @@
 }
 
 void CrashBook::prune(TimePoint Now) {
-  std::vector<UpstreamLife> Old;
+  std::vector<UpstreamIncarnation> Old;
   for (const auto &[Server, Of] : m_Crashes)
     if (Now - Of.m_At >= m_Opts.m_Remembers)
       Old.push_back(Server);
-  for (const UpstreamLife &Server : Old)
+  for (const UpstreamIncarnation &Server : Old)
     forgetCrash(Server);
   for (auto Each = m_Bars.begin(); Each != m_Bars.end();) {
     if (Now < Each->second.m_Until) {
--- a/packages/decisions/process/CrashBook.h
+++ b/packages/decisions/process/CrashBook.h
@@ -6,7 +6,7 @@
 
 #include "decisions/common/Id.h"
 #include "decisions/common/Time.h"
-#include "decisions/process/UpstreamLife.h"
+#include "decisions/process/UpstreamIncarnation.h"
 #include <cstddef>
 #include <map>
 #include <optional>
@@ -73,7 +73,7 @@
   explicit CrashBook(Options Opts) : m_Opts(Opts) {}
 
   /// \p Server ended with \p Running on it. Words of several boxes add up.
-  Heard crashed(const UpstreamLife &Server,
+  Heard crashed(const UpstreamIncarnation &Server,
                 const std::vector<RequestDigest> &Running, TimePoint Now);
   /// A server has run it to an end and lives. \returns whether it was suspected
   /// or barred until now.
@@ -136,12 +136,12 @@
   void bar(const RequestDigest &Request, const BoxName &By, TimePoint Now);
   void insertBar(const RequestDigest &Request, RequestBar Bar);
   void clear(const RequestDigest &Request);
-  void forgetCrash(const UpstreamLife &Server);
+  void forgetCrash(const UpstreamIncarnation &Server);
 
   Options m_Opts;
-  std::map<UpstreamLife, Crash> m_Crashes;
+  std::map<UpstreamIncarnation, Crash> m_Crashes;
   /// The other way round.
-  std::map<RequestDigest, std::set<UpstreamLife>> m_Under;
+  std::map<RequestDigest, std::set<UpstreamIncarnation>> m_Under;
   std::map<RequestDigest, TimePoint> m_Suspects; ///< Told by others.
   std::map<RequestDigest, TimePoint> m_RanWell;
   std::map<RequestDigest, RequestBar> m_Bars;
--- a/packages/decisions/process/DataCentreRisk.cpp
+++ b/packages/decisions/process/DataCentreRisk.cpp
@@ -1,6 +1,6 @@
 #include "decisions/process/DataCentreRisk.h"
 
-#include "decisions/process/ReplicaPicture.h"
+#include "decisions/process/ReplicaSnapshot.h"
 #include <algorithm>
 #include <map>
 #include <numeric>
--- a/packages/decisions/process/EngineLedger.cpp
+++ b/packages/decisions/process/EngineLedger.cpp
@@ -70,7 +70,7 @@
 bool EngineLedger::noteLowerCount(const ResidencyReport &Report,
                                   TimePoint AskedAt) {
   // A late answer may have taken the place of the one that was due.
-  return Report.m_Born == 0 && AskedAt > m_CountAt &&
+  return Report.m_StartTime == 0 && AskedAt > m_CountAt &&
          std::exchange(m_CountFell, true);
 }
 
--- a/packages/decisions/process/LifeBook.cpp
+++ b/packages/decisions/process/LifeBook.cpp
@@ -4,16 +4,16 @@
 
 namespace havenstair {
 
-bool LifeBook::note(const UpstreamLife &Life) {
-  if (Life.m_Born == 0)
+bool LifeBook::note(const UpstreamIncarnation &Life) {
+  if (Life.m_StartTime == 0)
     return false;
-  UpstreamBirth &Newest = m_Newest[Life.m_Id];
-  if (Life.m_Born <= Newest)
+  StartTime &Newest = m_Newest[Life.m_Id];
+  if (Life.m_StartTime <= Newest)
     return false;
-  return std::exchange(Newest, Life.m_Born) != 0;
+  return std::exchange(Newest, Life.m_StartTime) != 0;
 }
 
-UpstreamBirth LifeBook::newest(const InstanceId &Id) const {
+StartTime LifeBook::newest(const InstanceId &Id) const {
   const auto Found = m_Newest.find(Id);
   return Found == m_Newest.end() ? 0 : Found->second;
 }
--- a/packages/decisions/process/LifeBook.h
+++ b/packages/decisions/process/LifeBook.h
@@ -3,7 +3,7 @@
 #ifndef HAVENSTAIR_DECISIONS_PROCESS_LIFEBOOK_H
 #define HAVENSTAIR_DECISIONS_PROCESS_LIFEBOOK_H
 
-#include "decisions/process/UpstreamLife.h"
+#include "decisions/process/UpstreamIncarnation.h"
 #include <map>
 
 namespace havenstair {
@@ -14,19 +14,19 @@
 class LifeBook {
 public:
   /// Whether no later start than \p Life is known.
-  bool believes(const UpstreamLife &Life) const {
-    return Life.m_Born == 0 || Life.m_Born >= newest(Life.m_Id);
+  bool believes(const UpstreamIncarnation &Life) const {
+    return Life.m_StartTime == 0 || Life.m_StartTime >= newest(Life.m_Id);
   }
   /// \p Life was heard of. \returns whether the server has started again since
   /// it was last heard of.
-  bool note(const UpstreamLife &Life);
+  bool note(const UpstreamIncarnation &Life);
   /// 0 when none was told.
-  UpstreamBirth newest(const InstanceId &Id) const;
+  StartTime newest(const InstanceId &Id) const;
 
 private:
   /// Never forgotten: a word may come at any time, and an entry takes less
   /// than 100 bytes.
-  std::map<InstanceId, UpstreamBirth> m_Newest;
+  std::map<InstanceId, StartTime> m_Newest;
 };
 
 } // namespace havenstair
--- a/packages/decisions/process/MemoryLedger.cpp
+++ b/packages/decisions/process/MemoryLedger.cpp
@@ -37,7 +37,7 @@
 void MemoryLedger::confirmResident(const ArtifactName &Artifact,
                                    MemoryMiB Size) {
   LedgerEntry &Entry = m_Entries[Artifact];
-  // A report that left before the unload landed must not undo the unload.
+  // A report that was sent before the unload must not undo it.
   const bool Unloading =
       Entry.m_Residency == Residency::Unloading && !Entry.m_Artifact.empty();
   Entry.m_Artifact = Artifact;
--- a/packages/decisions/process/MemoryLedger.h
+++ b/packages/decisions/process/MemoryLedger.h
@@ -1,5 +1,5 @@
 /// \file
-/// Exact account of one accelerator's memory.
+/// Accounts for the memory of one accelerator.
 #ifndef HAVENSTAIR_DECISIONS_PROCESS_MEMORYLEDGER_H
 #define HAVENSTAIR_DECISIONS_PROCESS_MEMORYLEDGER_H
 
@@ -9,11 +9,11 @@
 
 namespace havenstair {
 
-/// Where an artifact stands on its way into and out of memory.
+/// The state of an artifact between its load and its unload.
 enum class Residency {
-  Loading,  ///< Reserved; the load may or may not have happened.
-  Resident, ///< Seen in the engine's own report.
-  Unloading ///< Still counted; the unload has not been seen.
+  Loading,  ///< Reserved; the engine may or may not have loaded it yet.
+  Resident, ///< The engine reports it.
+  Unloading ///< Still counted, as the engine has not confirmed the unload.
 };
 
 /// One artifact's entry in the ledger.
@@ -25,43 +25,46 @@
   bool operator==(const LedgerEntry &) const = default;
 };
 
-/// Counts memory as taken from before a load is ordered until after its
-/// unload is seen. The sum of all entries and of the reserve for KV cache
-/// never exceeds the capacity by an act of this class; only a report of the
-/// engine may show more.
+/// Counts memory as taken from before a load is ordered until its unload is
+/// confirmed. Apart from `forceReserve` and `confirmResident`, which record
+/// what engines do, no call lets the sum of all entries and the reserve for the
+/// KV cache exceed the capacity.
 class MemoryLedger {
 public:
   /// \param Capacity memory of the accelerator.
-  /// \param KvReserve part that is kept for the KV cache.
+  /// \param KvReserve memory that is kept for the KV cache.
   MemoryLedger(MemoryMiB Capacity, MemoryMiB KvReserve);
 
   MemoryMiB capacity() const { return m_Capacity; }
   MemoryMiB kvReserve() const { return m_KvReserve; }
+  /// Memory of all entries and the reserve for the KV cache.
   MemoryMiB taken() const;
   MemoryMiB available() const { return m_Capacity - taken(); }
 
   /// Reserves \p Size for \p Artifact. \returns false, and changes nothing,
-  /// when it does not fit or an entry exists.
+  /// when it does not fit or \p Artifact has an entry.
   bool tryReserve(const ArtifactName &Artifact, MemoryMiB Size);
 
-  /// Counts \p Size as taken even beyond the capacity. For orders of an
-  /// earlier owner, which may take effect whatever this box decides.
+  /// Counts \p Size as taken even beyond the capacity. For orders of a previous
+  /// owner, which may still be carried out.
   void forceReserve(const ArtifactName &Artifact, MemoryMiB Size);
 
   /// Marks a resident artifact as being unloaded; its memory stays counted.
   /// \returns false when it is not resident.
   bool beginUnload(const ArtifactName &Artifact);
 
-  /// Takes over what the engine reports: \p Artifact is resident.
+  /// Records that the engine reports \p Artifact as resident.
   void confirmResident(const ArtifactName &Artifact, MemoryMiB Size);
 
-  /// Frees the memory of \p Artifact; for an unload or refusal that was seen.
+  /// Frees the memory of \p Artifact after a confirmed unload or a refused
+  /// load.
   void release(const ArtifactName &Artifact);
 
   /// Changes the reserve for the KV cache, as a role change does.
   /// \returns false, and changes nothing, when it does not fit.
   bool trySetKvReserve(MemoryMiB Reserve);
 
+  /// Null when \p Artifact has no entry.
   const LedgerEntry *find(const ArtifactName &Artifact) const;
   std::vector<LedgerEntry> entries() const;
 
--- a/packages/decisions/process/MoveLog.cpp
+++ b/packages/decisions/process/MoveLog.cpp
@@ -8,7 +8,7 @@
   if (find(Record.m_Id) != nullptr)
     return false;
   m_Records.push_back(Record);
-  if (m_Records.size() > m_Most)
+  if (m_Records.size() > m_MaxRecords)
     m_Records.pop_front();
   return true;
 }
--- a/packages/decisions/process/Placement.cpp
+++ b/packages/decisions/process/Placement.cpp
@@ -25,15 +25,17 @@
   return ReasonNames.at(static_cast<std::size_t>(Reason));
 }
 
-/// The plan in the making: engines as they will be after the moves so far.
+/// The state of one plan, with the engines as they are after the moves so far.
 struct Placement::Working {
   const PlacementInput &m_Input;
   std::vector<EngineView> m_Engines;
-  std::map<ArtifactName, int> m_Copies;  ///< Held on engines that stay.
-  std::map<ArtifactName, int> m_Serving; ///< Serving on engines that stay.
-  /// Callable adapters by their base.
+  /// Copies held by engines that are not leaving.
+  std::map<ArtifactName, int> m_Copies;
+  /// Copies serving on engines that are not leaving.
+  std::map<ArtifactName, int> m_Serving;
+  /// Callable adapters by the name of their base.
   std::map<ArtifactName, std::vector<const CatalogueEntry *>> m_AdaptersOf;
-  /// Engines that hold each artifact, by position.
+  /// Indexes of the engines that hold each artifact.
   std::map<ArtifactName, std::vector<std::size_t>> m_HeldBy;
   std::vector<Move> m_Moves;
   TimePoint m_Now;
@@ -74,7 +76,7 @@
     return m_Input.m_Catalogue->find(Name);
   }
 
-  /// Adapters on \p Engine that need \p Base there.
+  /// Whether \p Engine holds adapters that need \p Base there.
   bool hasAdaptersOf(const EngineView &Engine, const ArtifactName &Base) const {
     return std::any_of(Engine.m_Held.begin(), Engine.m_Held.end(),
                        [&](const auto &Item) {
@@ -83,7 +85,7 @@
                        });
   }
 
-  /// Callable adapters of \p Base without a copy; they need its engine.
+  /// Callable adapters of \p Base without a copy. They must share its engine.
   std::vector<const CatalogueEntry *>
   missingAdapters(const ArtifactName &Base) const {
     std::vector<const CatalogueEntry *> Result;
@@ -98,7 +100,7 @@
     return Result;
   }
 
-  /// Memory of an artifact together with the adapters that must ride on it.
+  /// Memory of an artifact together with its adapters that have no copy.
   MemoryMiB familySize(const CatalogueEntry &Entry) const {
     MemoryMiB Sum = Entry.m_Size;
     for (const CatalogueEntry *Adapter : missingAdapters(Entry.m_Name))
@@ -106,6 +108,7 @@
     return Sum;
   }
 
+  /// Whether a leaving engine holds \p Name.
   bool leavesSomewhere(const ArtifactName &Name) const {
     return std::any_of(
         m_Engines.begin(), m_Engines.end(), [&](const EngineView &Engine) {
@@ -113,7 +116,7 @@
         });
   }
 
-  /// Loads what had no copy, with the reason that fits.
+  /// Loads an artifact that has no copy, and selects the reason.
   void loadMissing(EngineView &Engine, const CatalogueEntry &Entry) {
     if (m_Input.m_Callable.count(Entry.m_Name) == 0)
       return load(Engine, Entry, MoveReason::AdapterBase,
@@ -139,8 +142,8 @@
                        .m_Explanation = std::move(Why)});
   }
 
-  /// The memory counts as free for this plan only; the owner frees it when
-  /// the unload is seen, and the load follows in a later plan.
+  /// Does not count the memory as available. The owner frees it when the unload
+  /// is confirmed, and the load that needs it follows in a later plan.
   void unload(EngineView &Engine, const ArtifactName &Name, MoveReason Reason,
               std::string Why) {
     const MemoryMiB Size = Engine.m_Held.at(Name);
@@ -183,14 +186,14 @@
   }
   m_LastPlan = Now;
   Working State(Input, Now);
-  noteHeld(State);
+  recordHeld(State);
   cover(State);
   dropNotCallable(State);
   addCopies(State);
   return std::move(State.m_Moves);
 }
 
-void Placement::noteHeld(const Working &State) {
+void Placement::recordHeld(const Working &State) {
   std::map<std::pair<UpstreamName, ArtifactName>, TimePoint> Held;
   for (const EngineView &Engine : State.m_Engines)
     for (const auto &[Name, Size] : Engine.m_Held) {
@@ -210,7 +213,8 @@
     if (State.m_Copies[Name] == 0)
       Missing.push_back(Entry);
   }
-  // Large families first, while there is room for them; adapters last.
+  // The largest first, with their adapters, while there is room for them;
+  // single adapters last.
   std::sort(Missing.begin(), Missing.end(), [&](const auto *A, const auto *B) {
     if (A->isAdapter() != B->isAdapter())
       return B->isAdapter();
@@ -241,12 +245,13 @@
   }
   std::sort(Places.begin(), Places.end(),
             [](auto *A, auto *B) { return A->m_Available > B->m_Available; });
-  // With room for its adapters if there is such an engine; they have no other.
+  // Prefers an engine with room for its adapters, which can go nowhere else.
   for (const MemoryMiB Need : {State.familySize(Entry), Entry.m_Size})
     for (EngineView *Engine : Places)
       if (Engine->m_Available >= Need)
         return loadFamily(State, *Engine, Entry);
-  // Nothing fits: first the engine where the least has to go.
+  // It fits nowhere: tries the engine with the most available memory first, as
+  // the least has to be unloaded there.
   for (EngineView *Engine : Places)
     if (makeRoom(State, *Engine, Entry.m_Size, Entry.m_Name, true))
       return;
@@ -279,7 +284,7 @@
     const TimePoint Since = m_HeldSince[{Engine.m_Upstream, Name}];
     if (!ForCoverage && State.m_Now < Since + m_Opts.m_MinResidence)
       continue;
-    // What each remaining copy would have to carry.
+    // The demand for each remaining copy.
     const double Left = std::max(1, State.m_Serving[Name] - 1);
     Victims.push_back({State.demandFor(Name) / Left, Name, Size});
   }
@@ -308,7 +313,7 @@
     for (const ArtifactName &Name : Serving) {
       const bool Needed = State.m_Input.m_Callable.count(Name) != 0 ||
                           State.hasAdaptersOf(Engine, Name);
-      // Kept while nobody needs its memory: a move less to explain.
+      // Kept while nothing else needs its memory, to save a move.
       const bool Crowded = Engine.m_Available < Engine.m_Held.at(Name);
       if (!Needed && Crowded && Engine.m_Ready)
         State.unload(Engine, Name, MoveReason::NotCallable,
@@ -378,7 +383,7 @@
     if (Engine->m_Available < Entry.m_Size)
       continue;
     State.load(*Engine, Entry, MoveReason::Demand, Why);
-    // Others must not all choose the same spare engine in one plan.
+    // Keeps further copies of this plan from going to the same engine.
     Engine->m_Pressure += 0.5;
     return true;
   }
--- a/packages/decisions/process/Placement.h
+++ b/packages/decisions/process/Placement.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which models are resident where, within one data centre.
+/// Plans which models are resident on which engines of one data centre.
 /// See docs/design/placement.md.
 #ifndef HAVENSTAIR_DECISIONS_PROCESS_PLACEMENT_H
 #define HAVENSTAIR_DECISIONS_PROCESS_PLACEMENT_H
@@ -17,14 +17,14 @@
 
 namespace havenstair {
 
-/// Why a load or unload was decided; the closed list that operators see.
+/// Why a load or unload was decided. Operators see these reasons.
 enum class MoveReason {
   Coverage,      ///< A callable artifact had no copy.
   AdapterBase,   ///< The base model is needed for a callable adapter.
-  Demand,        ///< Its copies were busier than the setting allows.
-  MakeRoom,      ///< Unloaded for a load that needs the memory.
+  Demand,        ///< Its copies were busier than the settings allow.
+  MakeRoom,      ///< Unloaded to free memory for another load.
   NotCallable,   ///< No group may call it any more.
-  UpstreamLeaves ///< Copied elsewhere before its upstream is gone.
+  UpstreamLeaves ///< Loaded elsewhere before its upstream is gone.
 };
 constexpr int MoveReasonCount =
     static_cast<int>(MoveReason::UpstreamLeaves) + 1;
@@ -34,14 +34,14 @@
 
 enum class MoveVerb { Load, Unload };
 
-/// One load or unload, with the figures it was decided on.
+/// One load or unload, with the reason for it.
 struct Move {
   UpstreamName m_Upstream;
   MoveVerb m_Verb = MoveVerb::Load;
   ArtifactName m_Artifact;
   MemoryMiB m_Size = 0;
   MoveReason m_Reason = MoveReason::Coverage;
-  std::string m_Explanation; ///< One sentence with the figures.
+  std::string m_Explanation; ///< One sentence with the figures behind it.
 
   bool operator==(const Move &) const = default;
 };
@@ -52,25 +52,27 @@
   bool m_Ready = false; ///< Its ledger is known, so it can take orders.
   bool m_Leaving = false;
   MemoryMiB m_Available = 0;
-  std::map<ArtifactName, MemoryMiB> m_Held; ///< Loading, serving, unloading.
+  /// Size of each artifact that is loading, serving or unloading.
+  std::map<ArtifactName, MemoryMiB> m_Held;
   std::set<ArtifactName> m_Serving;
-  double m_Pressure = 0; ///< Offered load for each slot.
+  double m_Pressure = 0; ///< Requests running or waiting per slot.
 
   bool operator==(const EngineView &) const = default;
 };
 
-/// Demand for each artifact: requests running or waiting, smoothed.
+/// Smoothed number of requests running or waiting, by artifact.
 using DemandByArtifact = std::map<ArtifactName, double>;
 
 /// What the planner decides on.
 struct PlacementInput {
   std::vector<EngineView> m_Engines;
   DemandByArtifact m_Demand;
-  std::set<ArtifactName> m_Callable;
-  const Catalogue *m_Catalogue = nullptr;
+  std::set<ArtifactName> m_Callable;      ///< Some group may call these.
+  const Catalogue *m_Catalogue = nullptr; ///< Must not be null.
 };
 
-/// Interface of placement policies; baselines implement it too.
+/// Interface of placement policies; the baselines of benchmarks implement it
+/// too.
 class PlacementPolicy {
 public:
   virtual ~PlacementPolicy() = default;
@@ -78,27 +80,27 @@
                                  TimePoint Now) = 0;
 };
 
-/// The product's policy: coverage first, then copies by demand, held back by
-/// hysteresis and by a budget of moves.
+/// The default policy: first a copy of every callable artifact, then further
+/// copies by demand, limited by hysteresis and a budget of moves.
 class Placement : public PlacementPolicy {
 public:
   struct Options {
-    /// Pressure above which a model's best copy counts as busy.
+    /// A model is busy when even its least loaded copy exceeds this pressure.
     double m_BusyPressure = 0.9;
     /// A copy is added only on an engine whose pressure is below this.
     double m_SparePressure = 0.6;
     /// How long a model must stay busy before a copy is added.
     Duration m_BusyFor = 2s;
-    /// How long a copy stays at least.
+    /// Shortest time until a copy may be unloaded for one added by demand.
     Duration m_MinResidence = 60s;
-    /// Demand moves a minute at most; coverage is not bounded by it.
+    /// Most moves for demand per minute; moves for coverage are not limited.
     double m_DemandMovesPerMinute = 30;
-    /// Loads on their way at once, from the weight store's limits.
+    /// Most loads at a time, as the weight store limits them.
     int m_MaxLoading = 8;
   };
 
-  /// Options for the operators' one setting: 0 puts attainment first (the
-  /// co-operative), 1 puts few moves first (the consortium).
+  /// Options for the preference that operators set, from 0 for the best
+  /// attainment (the co-operative) to 1 for the fewest moves (the consortium).
   static Options forPreference(double FewMoves);
 
   explicit Placement(Options Opts) : m_Opts(Opts) {}
@@ -106,7 +108,7 @@
   std::vector<Move> plan(const PlacementInput &Input, TimePoint Now) override;
 
 private:
-  struct Working;
+  struct Working; ///< State of one plan.
 
   void cover(Working &State);
   void coverOne(Working &State, const CatalogueEntry &Entry);
@@ -117,12 +119,12 @@
   bool addCopy(Working &State, const CatalogueEntry &Entry, double Best);
   bool makeRoom(Working &State, EngineView &Engine, MemoryMiB Need,
                 const ArtifactName &For, bool ForCoverage);
-  void noteHeld(const Working &State);
+  void recordHeld(const Working &State);
 
   Options m_Opts;
   std::map<ArtifactName, TimePoint> m_BusySince;
   std::map<std::pair<UpstreamName, ArtifactName>, TimePoint> m_HeldSince;
-  double m_MovesLeft = 1;
+  double m_MovesLeft = 1; ///< Budget of moves for demand.
   std::optional<TimePoint> m_LastPlan;
 };
 
--- a/packages/decisions/process/PrefixIndex.cpp
+++ b/packages/decisions/process/PrefixIndex.cpp
@@ -11,11 +11,12 @@
   return stableHash(Request.m_Model, Request.m_Adapter);
 }
 
-std::uint64_t extend(std::uint64_t Before, const PromptPart &Part) {
-  return stableHash(std::to_string(Before), Part.m_Id);
+std::uint64_t extend(std::uint64_t Prefix, const PromptPart &Part) {
+  return stableHash(std::to_string(Prefix), Part.m_Id);
 }
 
-/// The last part belongs to the request or its session alone.
+/// Number of parts that requests may share; the last part belongs to one
+/// request or session.
 std::size_t sharedParts(const RequestDescriptor &Request) {
   return Request.m_Prompt.empty() ? 0 : Request.m_Prompt.size() - 1;
 }
@@ -45,13 +46,13 @@
   return Tokens;
 }
 
-void PrefixIndex::noteRead(const InstanceId &At,
-                           const RequestDescriptor &Request) {
-  Engine &Known = m_Engines[At];
+void PrefixIndex::recordRead(const InstanceId &At,
+                             const RequestDescriptor &Request) {
+  Engine &Cache = m_Engines[At];
   std::uint64_t Key = start(Request);
   for (const PromptPart &Part : Request.m_Prompt) {
     Key = extend(Key, Part);
-    touch(Known, Key, Part.m_Tokens);
+    touch(Cache, Key, Part.m_Tokens);
   }
 }
 
--- a/packages/decisions/process/ReplicaPlanner.cpp
+++ b/packages/decisions/process/ReplicaPlanner.cpp
@@ -1,6 +1,6 @@
 #include "decisions/process/ReplicaPlanner.h"
 
-#include "decisions/process/ReplicaPicture.h"
+#include "decisions/process/ReplicaSnapshot.h"
 #include <algorithm>
 #include <array>
 #include <optional>
@@ -15,40 +15,43 @@
 constexpr std::array<std::string_view, 3> ReasonNames{
     "not_resident", "demand_rose", "not_wanted"};
 
-/// Below this a model's replicas may go at any time, in engines' worth of work.
+/// Below this demand, as a multiple of an engine's capacity, a model's replicas
+/// may be evicted at any time.
 constexpr double LittleDemand = 0.05;
 
-/// Whether \p Model may make way on an engine that holds it.
-bool mayLeave(const ReplicaPicture &Now, std::size_t At,
+/// Whether \p Model may be evicted from an engine that holds it.
+bool mayEvict(const ReplicaSnapshot &Snapshot, std::size_t At,
               const std::string &Model) {
-  const PlannedEngine &Engine = Now.engines()[At];
-  const bool Wanted = Now.demand(Model) >= LittleDemand;
+  const PlannedEngine &Engine = Snapshot.engines()[At];
+  const bool HasDemand = Snapshot.demand(Model) >= LittleDemand;
   const bool Fresh = Engine.m_Fresh.contains(Model);
-  if (Now.present(Model) >= 2)
-    return !Wanted || !Fresh;
-  // One that loads is no replacement yet.
-  return Now.replicas(Model) == 1 && !Engine.m_Coming.contains(Model) &&
-         !Wanted && !Fresh;
+  if (Snapshot.servingCount(Model) >= 2)
+    return !HasDemand || !Fresh;
+  // A replica that is still loading is no replacement yet.
+  return Snapshot.replicas(Model) == 1 && !Engine.m_Loading.contains(Model) &&
+         !HasDemand && !Fresh;
 }
 
-/// Models that may make way on an engine; the empty name stands for none. What
-/// engines start with is a guess at the demand: it stays until there is any.
-std::vector<std::string> evictable(const ReplicaPicture &Now, std::size_t At) {
+/// Models that may be evicted from an engine; the empty name stands for no
+/// eviction. The models that engines start with are a guess at the demand, so
+/// they stay until there is any.
+std::vector<std::string> evictable(const ReplicaSnapshot &Snapshot,
+                                   std::size_t At) {
   std::vector<std::string> Result{""};
-  if (Now.demand() < LittleDemand)
+  if (Snapshot.demand() < LittleDemand)
     return Result;
-  for (const std::string &Model : Now.engines()[At].m_Models)
-    if (mayLeave(Now, At, Model))
+  for (const std::string &Model : Snapshot.engines()[At].m_Models)
+    if (mayEvict(Snapshot, At, Model))
       Result.push_back(Model);
   return Result;
 }
 
-/// Looks for the moves of one plan, the most useful first.
+/// Searches for the moves of one plan, the most useful first.
 class MoveSearch {
 public:
   MoveSearch(const PlannerInput &Input, const EngineSpec &Spec,
              const PlannerOptions &Opts)
-      : m_Spec(Spec), m_Opts(Opts), m_Now(Input, Spec, Opts),
+      : m_Spec(Spec), m_Opts(Opts), m_Snapshot(Input, Spec, Opts),
         m_StoreLoads(Input.m_StoreLoads),
         m_StoreSlowness(Input.m_StoreSlowness) {}
 
@@ -68,17 +71,19 @@
     return Move;
   }
 
-  /// A replica that is hardly missed leaves an engine without a free place.
+  /// Evicts a replica of little worth from an engine without room for the
+  /// largest model.
   std::optional<PlannedMove> nextRelease() {
-    for (std::size_t At = 0; At < m_Now.engines().size(); ++At) {
-      const PlannedEngine &Engine = m_Now.engines()[At];
-      if (!Engine.m_Movable || Engine.m_Leaving || m_Now.hasFreePlace(At))
+    for (std::size_t At = 0; At < m_Snapshot.engines().size(); ++At) {
+      const PlannedEngine &Engine = m_Snapshot.engines()[At];
+      if (!Engine.m_Movable || Engine.m_Leaving ||
+          m_Snapshot.hasRoomForLargest(At))
         continue;
-      // A copy: what may leave changes with the move.
-      const std::vector<Victim> Leaving = victims(At);
-      for (const auto &[Model, Worth] : Leaving) {
+      // A copy, because `apply` clears the cached victims.
+      const std::vector<Victim> Candidates = victims(At);
+      for (const auto &[Model, Worth] : Candidates) {
         if (Model.empty() ||
-            m_Now.gain(At, Model, "").m_Afterwards < -m_Opts.m_ReleaseLoss)
+            m_Snapshot.gain(At, Model, "").m_Afterwards < -m_Opts.m_ReleaseLoss)
           continue;
         apply(At, Model, "", 0);
         return PlannedMove{.m_Engine = Engine.m_Id,
@@ -92,8 +97,8 @@
   }
 
 private:
-  /// A model that may make way on an engine, or none, and what one replica of
-  /// it is worth, roughly.
+  /// A model that may be evicted from an engine, or an empty name, with the
+  /// approximate worth of one replica.
   struct Victim {
     std::string m_Model;
     double m_Worth = 0;
@@ -103,16 +108,16 @@
     PlannedMove m_Move;
   };
 
-  /// Models that no engine holds which stays, and those whose replicas have
-  /// the most to do.
+  /// Models without a replica, and those whose replicas have the most load.
   std::vector<std::string> wanted() const {
     constexpr std::size_t MostWanted = 12;
     std::vector<std::pair<double, std::string>> Ranked;
     for (const ModelSpec &Model : m_Spec.m_Models) {
-      const std::size_t Count = m_Now.replicas(Model.m_Name);
-      const double Demand = m_Now.demand(Model.m_Name);
+      const std::size_t Count = m_Snapshot.replicas(Model.m_Name);
+      const double Demand = m_Snapshot.demand(Model.m_Name);
       if (Count == 0)
-        Ranked.emplace_back(m_Now.unreachable(Model.m_Name), Model.m_Name);
+        Ranked.emplace_back(m_Snapshot.lossWithoutReplica(Model.m_Name),
+                            Model.m_Name);
       else if (Demand > 0)
         Ranked.emplace_back(Demand / static_cast<double>(Count), Model.m_Name);
     }
@@ -124,60 +129,63 @@
     return Result;
   }
 
-  /// They stay the same until the next move.
+  /// The victims on the engine \p At, cached until the next move.
   const std::vector<Victim> &victims(std::size_t At) const {
-    m_Victims.resize(m_Now.engines().size());
-    std::vector<Victim> &Known = m_Victims[At];
-    if (Known.empty())
-      for (std::string &Model : evictable(m_Now, At)) {
+    m_Victims.resize(m_Snapshot.engines().size());
+    std::vector<Victim> &Cached = m_Victims[At];
+    if (Cached.empty())
+      for (std::string &Model : evictable(m_Snapshot, At)) {
         const double Worth = worthAt(Model);
-        Known.push_back({.m_Model = std::move(Model), .m_Worth = Worth});
+        Cached.push_back({.m_Model = std::move(Model), .m_Worth = Worth});
       }
-    return Known;
+    return Cached;
   }
 
   void apply(std::size_t At, const std::string &Evict, const std::string &Load,
              double LoadMs) {
-    m_Now.apply(At, Evict, Load, LoadMs);
+    m_Snapshot.apply(At, Evict, Load, LoadMs);
     m_Victims.clear();
   }
 
   LoadSource sourceAt(std::size_t At, const std::string &Model) const {
-    const PlannedEngine &Engine = m_Now.engines()[At];
+    const PlannedEngine &Engine = m_Snapshot.engines()[At];
     return nearestSource(Engine.m_InMemory, Engine.m_OnDisk, Model);
   }
 
-  /// What a load costs, roughly: the work that is there already, and what the
-  /// cheapest victim is worth; none when the model finds no room.
+  /// Approximate cost of a load: the engine's present load and the worth of the
+  /// cheapest victim. Empty when the model does not fit.
   std::optional<double> roughCost(std::size_t At,
                                   const std::string &Model) const {
-    /// A load from the store takes some 5 s longer than one from near by.
-    constexpr double FarLoad = 0.1;
+    /// A load from the store takes about 5 s longer than one from host memory
+    /// or disk.
+    constexpr double StoreLoadCost = 0.1;
     std::optional<double> Cheapest;
     for (const auto &[Evict, Worth] : victims(At))
-      if (Worth < Cheapest.value_or(Worth + 1) && m_Now.fits(At, Evict, Model))
+      if (Worth < Cheapest.value_or(Worth + 1) &&
+          m_Snapshot.fits(At, Evict, Model))
         Cheapest = Worth;
     if (!Cheapest)
       return std::nullopt;
-    return m_Now.offered(At) + *Cheapest - m_Now.riskReductionOf(At, Model) +
-           (sourceAt(At, Model) == LoadSource::Store ? FarLoad : 0);
+    return m_Snapshot.offeredWork(At) + *Cheapest -
+           m_Snapshot.riskReductionOf(At, Model) +
+           (sourceAt(At, Model) == LoadSource::Store ? StoreLoadCost : 0);
   }
 
-  /// What one replica of \p Model is worth, roughly.
+  /// Approximate worth of one replica of \p Model.
   double worthAt(const std::string &Model) const {
-    const std::size_t Count = m_Now.replicas(Model);
+    const std::size_t Count = m_Snapshot.replicas(Model);
     if (Model.empty() || Count == 0)
       return 0;
-    return Count == 1 ? m_Now.unreachable(Model)
-                      : m_Now.demand(Model) / static_cast<double>(Count) +
-                            m_Now.spareWorth(Model);
+    return Count == 1 ? m_Snapshot.lossWithoutReplica(Model)
+                      : m_Snapshot.demand(Model) / static_cast<double>(Count) +
+                            m_Snapshot.spareWorth(Model);
   }
 
-  /// The engines that may be best for a load of \p Model.
+  /// The engines with the lowest approximate cost for a load of \p Model.
   std::vector<std::size_t> places(const std::string &Model) const {
     std::vector<std::pair<double, std::size_t>> Ranked;
-    for (std::size_t At = 0; At < m_Now.engines().size(); ++At) {
-      const PlannedEngine &Engine = m_Now.engines()[At];
+    for (std::size_t At = 0; At < m_Snapshot.engines().size(); ++At) {
+      const PlannedEngine &Engine = m_Snapshot.engines()[At];
       if (!Engine.m_Movable || Engine.m_Leaving ||
           Engine.m_Models.contains(Model))
         continue;
@@ -186,12 +194,12 @@
       if (const auto Cost = roughCost(At, Model))
         Ranked.emplace_back(*Cost, At);
     }
-    const auto Close = std::min(m_Opts.m_ClosePlaces, Ranked.size());
+    const auto Count = std::min(m_Opts.m_MaxCandidates, Ranked.size());
     std::partial_sort(Ranked.begin(),
-                      Ranked.begin() + static_cast<std::ptrdiff_t>(Close),
+                      Ranked.begin() + static_cast<std::ptrdiff_t>(Count),
                       Ranked.end());
     std::vector<std::size_t> Result;
-    for (std::size_t Rank = 0; Rank < Close; ++Rank)
+    for (std::size_t Rank = 0; Rank < Count; ++Rank)
       Result.push_back(Ranked[Rank].second);
     return Result;
   }
@@ -199,13 +207,13 @@
   std::optional<Scored> bestPlace(const std::string &Model) const {
     std::optional<Scored> Best;
     for (const std::size_t At : places(Model)) {
-      const PlannedEngine &Engine = m_Now.engines()[At];
+      const PlannedEngine &Engine = m_Snapshot.engines()[At];
       const LoadSource Source = sourceAt(At, Model);
       for (const auto &[Evict, Worth] : victims(At)) {
-        if (!m_Now.fits(At, Evict, Model))
+        if (!m_Snapshot.fits(At, Evict, Model))
           continue;
         const double Gain = gain(At, Evict, Model, Source);
-        if (Gain >= least(Model, Source) &&
+        if (Gain >= minimumGain(Model, Source) &&
             (!Best || Gain > Best->m_Move.m_Gain))
           Best = Scored{
               .m_At = At,
@@ -213,12 +221,12 @@
                          .m_Evict = Evict,
                          .m_Load = Model,
                          .m_Source = Source,
-                         .m_Reason = m_Now.replicas(Model) == 0
+                         .m_Reason = m_Snapshot.replicas(Model) == 0
                                          ? PlanReason::NotResident
                                          : PlanReason::DemandRose,
                          .m_ServesInMs = servesInMs(Evict, Model, Source),
                          .m_Gain = Gain}};
-        // A free place needs no victim.
+        // With enough free memory no victim is needed.
         if (Evict.empty())
           break;
       }
@@ -229,27 +237,27 @@
   double servesInMs(const std::string &Evict, const std::string &Model,
                     LoadSource Source) const {
     const double Slowness = Source == LoadSource::Store ? m_StoreSlowness : 1;
-    return m_Now.drainMs(Evict) +
-           Slowness * inMillis(loadTime(m_Now.specOf(Model), Source));
+    return m_Snapshot.drainMs(Evict) +
+           Slowness * inMillis(loadTime(m_Snapshot.specOf(Model), Source));
   }
 
-  /// Work saved each second, on average until the horizon.
+  /// Work saved per second, averaged until the horizon.
   double gain(std::size_t At, const std::string &Evict,
               const std::string &Model, LoadSource Source) const {
-    const ReplicaPicture::Change Change = m_Now.gain(At, Evict, Model);
+    const ReplicaSnapshot::Change Change = m_Snapshot.gain(At, Evict, Model);
     const double Horizon = m_Opts.m_HorizonMs;
     const double Until = std::min(Horizon, servesInMs(Evict, Model, Source));
     double Saved =
         Change.m_WhileLoading * Until + Change.m_Afterwards * (Horizon - Until);
-    // Until a first replica is there, all that is asked of the model is lost.
-    if (const auto First = m_Now.firstComesInMs(Model))
-      Saved += m_Now.demand(Model) *
+    // Until the first replica serves, all demand for the model is lost.
+    if (const auto First = m_Snapshot.firstServesInMs(Model))
+      Saved += m_Snapshot.demand(Model) *
                std::max(0.0, std::min(Horizon, *First) - Until);
     return Saved / Horizon;
   }
 
-  double least(const std::string &Model, LoadSource Source) const {
-    if (m_Now.replicas(Model) == 0)
+  double minimumGain(const std::string &Model, LoadSource Source) const {
+    if (m_Snapshot.replicas(Model) == 0)
       return 0;
     const double Scale = 1 + 3 * m_Opts.m_FewMoves;
     return Scale * (Source == LoadSource::Store ? m_Opts.m_LeastGainStore
@@ -258,7 +266,7 @@
 
   const EngineSpec &m_Spec;
   const PlannerOptions &m_Opts;
-  ReplicaPicture m_Now;
+  ReplicaSnapshot m_Snapshot;
   std::size_t m_StoreLoads;
   double m_StoreSlowness;
   mutable std::vector<std::vector<Victim>> m_Victims; ///< By engine.
--- a/packages/decisions/process/ReplicaPlanner.h
+++ b/packages/decisions/process/ReplicaPlanner.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which models are on which engines: the next moves towards demand.
+/// Plans which models to load on and evict from which engines, by demand.
 /// See docs/design/replicas.md.
 #ifndef HAVENSTAIR_DECISIONS_PROCESS_REPLICAPLANNER_H
 #define HAVENSTAIR_DECISIONS_PROCESS_REPLICAPLANNER_H
@@ -15,25 +15,30 @@
 
 namespace havenstair {
 
-/// An engine as the plan sees it: with what is under way counted as done.
+/// An engine as the planner sees it, with loads and evictions that are under
+/// way counted as done.
 struct PlannedEngine {
   InstanceId m_Id;
   std::set<std::string> m_Models;
-  /// Those of them that are not there yet, with the milliseconds until then.
-  std::map<std::string, double> m_Coming;
-  /// Came a short while ago: they stay while they are wanted.
+  /// Models that are still being loaded, with the milliseconds until they
+  /// serve.
+  std::map<std::string, double> m_Loading;
+  /// Models loaded a short while ago. They are not evicted while they have
+  /// demand.
   std::set<std::string> m_Fresh;
-  std::set<std::string> m_InMemory;
-  std::set<std::string> m_OnDisk;
+  std::set<std::string> m_InMemory; ///< Models with weights in host memory.
+  std::set<std::string> m_OnDisk;   ///< Models with weights on its disk.
+  /// How many times longer it takes for the same work than an average engine.
   double m_Slowness = 1;
-  bool m_Movable = true; ///< Nothing is under way, and it stays.
-  bool m_Leaving = false;
+  bool m_Movable = true;  ///< No order is under way, and it is not leaving.
+  bool m_Leaving = false; ///< It is about to go; its models do not count.
   DataCentreName m_DataCentre;
 };
 
-/// Where the weights of a load come from; the nearer the sooner.
+/// Where the weights of a load come from, the fastest first.
 enum class LoadSource { HostMemory, Disk, Store };
 
+/// \returns the name of \p Source, for logs.
 std::string_view sourceName(LoadSource Source);
 
 /// The nearest place from which an engine with these copies loads \p Model.
@@ -41,82 +46,89 @@
                          const std::set<std::string> &OnDisk,
                          const std::string &Model);
 
-/// How long a load takes; a guess for a model that is not known (null).
+/// Nominal time of a load; a guess for an unknown model (null).
 Duration loadTime(const ModelSpec *Model, LoadSource Source);
 
 /// Why a model is loaded.
 enum class PlanReason {
-  NotResident, ///< No engine that stays holds it.
-  DemandRose,  ///< Its engines have more to do than others.
-  NotWanted    ///< A replica leaves, so that the next load finds its place.
+  NotResident, ///< No engine holds it, except for those that are leaving.
+  DemandRose,  ///< Its engines have more load than others.
+  NotWanted    ///< Evicted only, so that the next load finds free memory.
 };
 
+/// \returns the name of \p Reason, for logs.
 std::string_view reasonName(PlanReason Reason);
 
-/// Load a model, after another has made way for it; either may be empty.
+/// Loads `m_Load` on an engine after evicting `m_Evict`; either may be empty.
 struct PlannedMove {
   InstanceId m_Engine;
   std::string m_Evict;
   std::string m_Load;
   LoadSource m_Source = LoadSource::Store;
   PlanReason m_Reason = PlanReason::DemandRose;
-  double m_ServesInMs = 0; ///< Expected time until the model serves.
-  double m_Gain = 0;       ///< Work saved each second, in engines' worth.
+  double m_ServesInMs = 0; ///< Expected milliseconds until it serves.
+  /// Lost work that it saves per second, as a multiple of an engine's capacity.
+  double m_Gain = 0;
 
   bool operator==(const PlannedMove &) const = default;
 };
 
-/// What the plan is made from. Demand is in engines' worth of work: 1 keeps
-/// one average engine busy.
+/// What the planner decides on. Demand is work per second as a multiple of an
+/// engine's capacity: 1 keeps one average engine busy.
 struct PlannerInput {
   std::vector<PlannedEngine> m_Engines;
-  std::map<std::string, double> m_Demand;
-  /// The same over half a minute: which models are likely to be asked for.
+  std::map<std::string, double> m_Demand; ///< By model.
+  /// Demand averaged over half a minute, by model. Tells which models are
+  /// likely to be requested.
   std::map<std::string, double> m_Usual;
-  /// Models that callers wait for now.
+  /// Models that callers are waiting for.
   std::set<std::string> m_Awaited;
-  std::size_t m_StoreLoads = 0; ///< That may begin from the store now.
-  /// How much longer loads from the store take than when few run.
+  std::size_t m_StoreLoads = 0; ///< Most loads from the store to start now.
+  /// By what factor loads from the store are slower than when few run.
   double m_StoreSlowness = 1;
 };
 
-/// Gains are in engines' worth of work saved each second.
+/// Settings of the planner. Gains, losses and worths are work per second as a
+/// multiple of an engine's capacity.
 struct PlannerOptions {
   /// Least gain of a load from the engine's own memory or disk, and from the
-  /// store of weights (docs/design/replicas.md).
+  /// weight store (docs/design/replicas.md).
   double m_LeastGainNear = 0.02;
   double m_LeastGainStore = 0.02;
-  /// From 0 to 1; 1 asks four times the gain of each move.
+  /// Preference for few moves, from 0 to 1; 1 requires four times the gain of
+  /// each move.
   double m_FewMoves = 0;
-  /// Time for which a move is judged: demand has moved on afterwards.
+  /// Milliseconds over which a move's gain is averaged; later demand is too
+  /// uncertain.
   double m_HorizonMs = 12000;
-  /// What it is worth that a model has a replica at all, beyond its demand and
-  /// what it is usually asked for.
+  /// Worth of a model's having a replica at all, beyond its current and usual
+  /// demand.
   double m_ReachableWorth = 0.02;
-  /// Part of its usual demand that a replica keeps as its worth while others of
-  /// its model serve, so that rare models which are asked for first do not take
-  /// the places of hot ones.
+  /// Fraction of the usual demand that counts as the worth of a replica while
+  /// others of its model serve. Keeps the first requests for rare models from
+  /// evicting replicas of hot ones.
   double m_SparePart = 0.5;
-  /// What it is worth that callers who wait for a model are served: one of them
-  /// asks for a tenth of a second of an engine.
+  /// Worth of serving the callers that are waiting for a model. One of them
+  /// needs a tenth of a second of an engine.
   double m_AwaitedWorth = 0.25;
-  /// Engines that are looked at closely for one model; all would take too long.
-  std::size_t m_ClosePlaces = 12;
-  /// Weight of the work that the loss of the data centre that holds most of a
-  /// model would cost each second: the part of the time in which one is
-  /// evacuated or cut off and its models are not yet loaded elsewhere. 0 places
-  /// replicas without regard to data centres.
+  /// Most engines whose gain is computed for one model; computing it for all
+  /// would take too long.
+  std::size_t m_MaxCandidates = 12;
+  /// Weight of the work that would be lost per second if the data centre with
+  /// most of a model's replicas were lost: the fraction of time in which a data
+  /// centre is evacuated or cut off and its models are not yet loaded
+  /// elsewhere. 0 places replicas without regard to data centres.
   double m_SpreadWorth = 0;
-  /// A replica leaves when no more than this is lost by it.
+  /// A replica is evicted to free memory when no more than this is lost by it.
   double m_ReleaseLoss = 0.002;
-  /// Time until nearly all answers that run at a replica have ended.
+  /// Milliseconds until nearly all answers that run at a replica have ended.
   double m_LongAnswerMs = 4000;
 };
 
-/// Up to \p Most moves, the most useful first, on different engines. The last
-/// replica of a model that hardly anybody asks for may make way for a model
-/// that is wanted more, once there is any demand. Never plans more on an engine
-/// than \p Spec lets it hold.
+/// \returns up to \p Most moves on different engines, the most useful first.
+/// The last replica of a model with hardly any demand may be evicted for a
+/// model with more, once there is any demand at all. Never plans more on an
+/// engine than \p Spec lets it hold.
 std::vector<PlannedMove> planReplicas(const PlannerInput &Input,
                                       const EngineSpec &Spec,
                                       const PlannerOptions &Opts,
--- a/packages/decisions/process/ReplicaPicture.cpp
+++ b/packages/decisions/process/ReplicaSnapshot.cpp
@@ -1,4 +1,4 @@
-#include "decisions/process/ReplicaPicture.h"
+#include "decisions/process/ReplicaSnapshot.h"
 
 #include <algorithm>
 #include <cmath>
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// From here on all that is added is lost.
+/// Offered work of an engine above which all additional work is lost.
 constexpr double Knee = 1.2;
 
-/// Passes in which models find their level beside each other.
+/// Passes over all models until the loads of their replicas have evened out.
 constexpr int SettlePasses = 3;
 
 /// Empty when there is no model.
@@ -39,9 +39,9 @@
   return Knee / 3 + Offered - Knee;
 }
 
-ReplicaPicture::ReplicaPicture(const PlannerInput &Input,
-                               const EngineSpec &Spec,
-                               const PlannerOptions &Opts)
+ReplicaSnapshot::ReplicaSnapshot(const PlannerInput &Input,
+                                 const EngineSpec &Spec,
+                                 const PlannerOptions &Opts)
     : m_Engines(Input.m_Engines), m_Input(Input), m_Spec(Spec), m_Opts(Opts),
       m_Largest(largestModel(Spec)), m_AllDemand(sum(Input.m_Demand)),
       m_Demand(Input.m_Demand.begin(), Input.m_Demand.end()),
@@ -52,38 +52,38 @@
   for (std::size_t At = 0; At < m_Engines.size(); ++At)
     if (!m_Engines[At].m_Leaving)
       for (const std::string &Model : m_Engines[At].m_Models)
-        hold(At, Model);
+        addHolder(At, Model);
   m_Offered.resize(m_Engines.size());
-  settle();
+  rebalance();
 }
 
-std::size_t ReplicaPicture::present(const std::string &Model) const {
+std::size_t ReplicaSnapshot::servingCount(const std::string &Model) const {
   const std::set<std::size_t> &Holders = holders(Model);
   return static_cast<std::size_t>(
       std::count_if(Holders.begin(), Holders.end(), [&](std::size_t At) {
-        return !m_Engines[At].m_Coming.contains(Model);
+        return !m_Engines[At].m_Loading.contains(Model);
       }));
 }
 
-double ReplicaPicture::demand(const std::string &Model) const {
+double ReplicaSnapshot::demand(const std::string &Model) const {
   const auto Found = m_Demand.find(Model);
   return Found == m_Demand.end() ? 0 : Found->second;
 }
 
 std::optional<double>
-ReplicaPicture::firstComesInMs(const std::string &Model) const {
+ReplicaSnapshot::firstServesInMs(const std::string &Model) const {
   std::optional<double> First;
   for (std::size_t At : holders(Model)) {
-    const auto Coming = m_Engines[At].m_Coming.find(Model);
-    if (Coming == m_Engines[At].m_Coming.end())
+    const auto Coming = m_Engines[At].m_Loading.find(Model);
+    if (Coming == m_Engines[At].m_Loading.end())
       return std::nullopt;
     First = std::min(First.value_or(Coming->second), Coming->second);
   }
   return First;
 }
 
-bool ReplicaPicture::fits(std::size_t At, const std::string &Evict,
-                          const std::string &Load) const {
+bool ReplicaSnapshot::fits(std::size_t At, const std::string &Evict,
+                           const std::string &Load) const {
   double Sum = sizeMb(Load);
   double LargestAdapter = adapterMb(Load);
   for (const std::string &Model : m_Engines[At].m_Models) {
@@ -95,29 +95,29 @@
   return Sum + m_Spec.m_AdapterCapacity * LargestAdapter <= m_Spec.m_WeightsMb;
 }
 
-bool ReplicaPicture::hasFreePlace(std::size_t At) const {
+bool ReplicaSnapshot::hasRoomForLargest(std::size_t At) const {
   return m_Largest.empty() || fits(At, "", m_Largest);
 }
 
-double ReplicaPicture::drainMs(const std::string &Model) const {
+double ReplicaSnapshot::drainMs(const std::string &Model) const {
   if (Model.empty())
     return 0;
-  // Most of a request's work is the slot that its answer takes.
+  // Most of a request's work is to occupy a slot while its answer runs.
   const double Running =
       demand(Model) * m_Spec.m_Slots /
       static_cast<double>(std::max<std::size_t>(1, replicas(Model)));
   return m_Opts.m_LongAnswerMs * (1 - std::exp(-Running));
 }
 
-/// Fills the engines up to one level, as water does.
-ReplicaPicture::Work
-ReplicaPicture::spread(double Demand, const std::set<std::size_t> &Holders,
-                       const Work &Others) const {
+/// Water-filling: raises the least loaded engines up to one common level.
+ReplicaSnapshot::Work
+ReplicaSnapshot::spread(double Demand, const std::set<std::size_t> &Holders,
+                        const Work &Others) const {
   std::vector<std::pair<double, std::size_t>> Rising;
   for (std::size_t At : Holders)
     Rising.emplace_back(Others.at(At), At);
   std::sort(Rising.begin(), Rising.end());
-  // Work that lifts all engines below the level by one.
+  // Work that raises all engines below the level by one.
   double PerLevel = 0;
   double Level = 0;
   double Left = Demand;
@@ -137,15 +137,15 @@
   return Result;
 }
 
-ReplicaPicture::Work
-ReplicaPicture::othersWork(const std::string &Model,
-                           const std::set<std::size_t> &Holders,
-                           const Work &Changed) const {
+ReplicaSnapshot::Work
+ReplicaSnapshot::othersWork(const std::string &Model,
+                            const std::set<std::size_t> &Holders,
+                            const Work &Changed) const {
   const auto Placed = m_Placed.find(Model);
   Work Result;
   for (std::size_t At : Holders) {
-    const auto Known = Changed.find(At);
-    double Others = Known == Changed.end() ? m_Offered[At] : Known->second;
+    const auto New = Changed.find(At);
+    double Others = New == Changed.end() ? m_Offered[At] : New->second;
     if (Placed != m_Placed.end())
       if (const auto Own = Placed->second.find(At); Own != Placed->second.end())
         Others -= Own->second;
@@ -154,7 +154,7 @@
   return Result;
 }
 
-void ReplicaPicture::place(const std::string &Model) {
+void ReplicaSnapshot::assignDemand(const std::string &Model) {
   const std::set<std::size_t> &Holders = holders(Model);
   const Work Others = othersWork(Model, Holders, {});
   Work Placed = spread(demand(Model), Holders, Others);
@@ -165,23 +165,23 @@
   m_Placed[Model] = std::move(Placed);
 }
 
-void ReplicaPicture::settle() {
+void ReplicaSnapshot::rebalance() {
   for (int Pass = 0; Pass < SettlePasses; ++Pass)
     for (const auto &[Model, Demand] : m_Input.m_Demand)
       if (Demand > 0)
-        place(Model);
+        assignDemand(Model);
 }
 
-double ReplicaPicture::less(const Work &Changed) const {
+double ReplicaSnapshot::workSaved(const Work &Changed) const {
   double Sum = 0;
   for (const auto &[At, Offered] : Changed)
     Sum += lostWork(m_Offered[At]) - lostWork(Offered);
   return Sum;
 }
 
-ReplicaPicture::Change ReplicaPicture::gain(std::size_t At,
-                                            const std::string &Evict,
-                                            const std::string &Load) const {
+ReplicaSnapshot::Change ReplicaSnapshot::gain(std::size_t At,
+                                              const std::string &Evict,
+                                              const std::string &Load) const {
   Work Changed;
   const auto Replace = [&](const std::string &Model,
                            const std::set<std::size_t> &Holders) {
@@ -199,28 +199,30 @@
     std::set<std::size_t> Rest = holders(Evict);
     Rest.erase(At);
     Replace(Evict, Rest);
-    Missed = Rest.empty() ? unreachable(Evict) : spareWorth(Evict);
+    Missed = Rest.empty() ? lossWithoutReplica(Evict) : spareWorth(Evict);
     Missed -= m_Risk.reduction(Evict, workOf(Evict),
                                {.m_More = std::nullopt, .m_Less = At});
-    Result.m_WhileLoading = less(Changed) - Missed;
+    Result.m_WhileLoading = workSaved(Changed) - Missed;
   }
   Result.m_Afterwards = Result.m_WhileLoading;
   if (Load.empty())
     return Result;
   std::set<std::size_t> More = holders(Load);
   const bool First = More.empty();
-  // That nobody has asked for it yet is no reason to take another one away.
-  const double Unasked = Evict.empty() ? 0 : m_Opts.m_ReachableWorth;
+  // The worth of being reachable at all does not justify evicting another
+  // model.
+  const double ReachableWorth = Evict.empty() ? 0 : m_Opts.m_ReachableWorth;
   More.insert(At);
   Replace(Load, More);
-  Result.m_Afterwards = less(Changed) - Missed +
-                        (First ? unreachable(Load) - Unasked : 0) +
-                        riskReductionOf(At, Load);
+  Result.m_Afterwards =
+      workSaved(Changed) - Missed +
+      (First ? lossWithoutReplica(Load) - ReachableWorth : 0) +
+      riskReductionOf(At, Load);
   return Result;
 }
 
-void ReplicaPicture::apply(std::size_t At, const std::string &Evict,
-                           const std::string &Load, double LoadMs) {
+void ReplicaSnapshot::apply(std::size_t At, const std::string &Evict,
+                            const std::string &Load, double LoadMs) {
   if (!Evict.empty()) {
     m_Engines[At].m_Models.erase(Evict);
     m_Holders[Evict].erase(At);
@@ -229,60 +231,61 @@
   m_Engines[At].m_Movable = false;
   if (!Load.empty()) {
     m_Engines[At].m_Models.insert(Load);
-    m_Engines[At].m_Coming[Load] = LoadMs;
-    hold(At, Load);
+    m_Engines[At].m_Loading[Load] = LoadMs;
+    addHolder(At, Load);
   }
-  settle();
+  rebalance();
 }
 
 const std::set<std::size_t> &
-ReplicaPicture::holders(const std::string &Model) const {
+ReplicaSnapshot::holders(const std::string &Model) const {
   static const std::set<std::size_t> None;
   const auto Found = m_Holders.find(Model);
   return Found == m_Holders.end() ? None : Found->second;
 }
 
-void ReplicaPicture::hold(std::size_t At, const std::string &Model) {
+void ReplicaSnapshot::addHolder(std::size_t At, const std::string &Model) {
   m_Holders[Model].insert(At);
   m_Risk.add(At, Model);
 }
 
-double ReplicaPicture::riskReductionOf(std::size_t At,
-                                       const std::string &Model) const {
+double ReplicaSnapshot::riskReductionOf(std::size_t At,
+                                        const std::string &Model) const {
   return m_Risk.reduction(Model, workOf(Model),
                           {.m_More = At, .m_Less = std::nullopt});
 }
 
-DataCentreRisk::Work ReplicaPicture::workOf(const std::string &Model) const {
-  return {.m_Demand = demand(Model), .m_Unreachable = unreachable(Model)};
+DataCentreRisk::Work ReplicaSnapshot::workOf(const std::string &Model) const {
+  return {.m_Demand = demand(Model),
+          .m_Unreachable = lossWithoutReplica(Model)};
 }
 
-double ReplicaPicture::usual(const std::string &Model) const {
+double ReplicaSnapshot::usual(const std::string &Model) const {
   const auto Found = m_Usual.find(Model);
   return Found == m_Usual.end() ? 0 : Found->second;
 }
 
-double ReplicaPicture::unreachable(const std::string &Model) const {
+double ReplicaSnapshot::lossWithoutReplica(const std::string &Model) const {
   return demand(Model) + m_Opts.m_ReachableWorth + usual(Model) +
          (m_Input.m_Awaited.contains(Model) ? m_Opts.m_AwaitedWorth : 0);
 }
 
-double ReplicaPicture::spareWorth(const std::string &Model) const {
+double ReplicaSnapshot::spareWorth(const std::string &Model) const {
   return m_Opts.m_SparePart * usual(Model) /
          static_cast<double>(std::max<std::size_t>(1, replicas(Model)));
 }
 
-const ModelSpec *ReplicaPicture::specOf(const std::string &Model) const {
+const ModelSpec *ReplicaSnapshot::specOf(const std::string &Model) const {
   const auto Found = m_Specs.find(Model);
   return Found == m_Specs.end() ? nullptr : Found->second;
 }
 
-double ReplicaPicture::sizeMb(const std::string &Model) const {
+double ReplicaSnapshot::sizeMb(const std::string &Model) const {
   const ModelSpec *Found = specOf(Model);
   return Found == nullptr ? m_Spec.m_WeightsMb : Found->m_SizeMb;
 }
 
-double ReplicaPicture::adapterMb(const std::string &Model) const {
+double ReplicaSnapshot::adapterMb(const std::string &Model) const {
   const ModelSpec *Found = specOf(Model);
   return Found == nullptr || Found->m_Adapters == 0 ? 0 : Found->m_AdapterMb;
 }
--- a/packages/decisions/process/RequestLog.cpp
+++ b/packages/decisions/process/RequestLog.cpp
@@ -5,7 +5,7 @@
 void RequestLog::begin(const RequestRecord &Record) {
   m_Records[Record.m_Id] = Record;
   m_Order.push_back(Record.m_Id);
-  if (m_Order.size() <= m_Most)
+  if (m_Order.size() <= m_MaxRecords)
     return;
   m_Records.erase(m_Order.front());
   m_Order.pop_front();
--- a/packages/decisions/process/ResidencyOrder.h
+++ b/packages/decisions/process/ResidencyOrder.h
@@ -1,5 +1,5 @@
 /// \file
-/// Orders to engines, their answers, and engines' reports.
+/// Defines the orders to engines, their answers and the engines' reports.
 #ifndef HAVENSTAIR_DECISIONS_PROCESS_RESIDENCYORDER_H
 #define HAVENSTAIR_DECISIONS_PROCESS_RESIDENCYORDER_H
 
@@ -13,49 +13,51 @@
 
 namespace havenstair {
 
-/// An order to load or unload a model or, with an adapter, that adapter.
+/// An order to load or unload a model or, if an adapter is named, that adapter.
 struct ResidencyOrder {
-  bool m_Load = true;
+  bool m_Load = true; ///< False to unload.
   std::string m_Model;
-  std::string m_Adapter;
+  std::string m_Adapter; ///< Empty for the model itself.
 
   auto operator<=>(const ResidencyOrder &) const = default;
   bool operator==(const ResidencyOrder &) const = default;
 };
 
-/// Who gives an order and what it expects.
+/// Identifies the leader that gives an order, and the engine's state that it
+/// expects.
 struct OrderStamp {
-  std::string m_Holder;
+  std::string m_Holder; ///< The box that holds the lease of leadership.
   std::uint64_t m_FencingToken = 0;
-  std::uint64_t m_ExpectedCount = 0; ///< Orders the engine has taken so far.
+  std::uint64_t m_ExpectedCount = 0; ///< Orders the engine has accepted so far.
 };
 
+/// How an engine answered an order.
 enum class OrderAnswer {
-  Accepted,    ///< Under way.
-  AlreadyDone, ///< It is as the order wants already.
+  Accepted,    ///< The order is being carried out.
+  AlreadyDone, ///< The engine is in the ordered state already.
   Busy,        ///< Another order is under way, or the count differs.
-  Fenced,      ///< A newer holder gave orders.
-  Refused,     ///< It will never be carried out.
+  Fenced,      ///< A newer leader has given orders.
+  Refused,     ///< The order will never be carried out.
   Lost         ///< No answer; it may be carried out, now or later.
 };
 
-/// For logs and metrics.
+/// \returns the name of \p Answer, for logs and metrics.
 std::string_view answerName(OrderAnswer Answer);
 
-/// What an engine says of itself when asked.
+/// What an engine reports of itself when asked.
 struct ResidencyReport {
-  UpstreamBirth m_Born = 0; ///< 0 when it does not tell.
-  std::uint64_t m_OrderCount = 0;
+  StartTime m_StartTime = 0;      ///< 0 when it does not report it.
+  std::uint64_t m_OrderCount = 0; ///< Orders accepted since it started.
   bool m_OrderUnderWay = false;
-  std::vector<ResidentModel> m_Models;
-  /// Adapters on their way, by model.
+  std::vector<ResidentModel> m_Models; ///< Models and adapters it serves.
+  /// Adapters that are being loaded, by model.
   std::vector<ResidentModel> m_Pending;
-  std::set<std::string> m_InMemory;
-  std::set<std::string> m_OnDisk;
-  int m_Running = 0;
-  int m_Queued = 0;
-  Duration m_ColdFor = 0us; ///< How much longer it is cold.
-  bool m_Leaving = false;   ///< It says that it leaves.
+  std::set<std::string> m_InMemory; ///< Models with weights in host memory.
+  std::set<std::string> m_OnDisk;   ///< Models with weights on its disk.
+  int m_Running = 0;                ///< Requests.
+  int m_Queued = 0;                 ///< Requests.
+  Duration m_ColdFor = 0us;         ///< How much longer it is cold.
+  bool m_Leaving = false;           ///< It is about to shut down.
 };
 
 } // namespace havenstair
--- a/packages/decisions/process/ServingView.cpp
+++ b/packages/decisions/process/ServingView.cpp
@@ -7,21 +7,21 @@
 
 namespace {
 
-/// How long upstreams that left are remembered.
+/// How long upstreams that disappeared from the list are remembered.
 constexpr Duration RememberFor = 60s;
 
 } // namespace
 
-/// A late write of an earlier start may lie over the entry of the newest, which
-/// holds then.
-void ServingView::keepNewestLives(InstanceList &List) {
+/// A late write of an earlier incarnation may have replaced the entry of the
+/// newest one, whose previous entry is kept then.
+void ServingView::keepNewestIncarnations(InstanceList &List) {
   for (auto Each = List.m_Instances.begin(); Each != List.m_Instances.end();) {
     UpstreamInstance &Entry = Each->second;
     const auto Before = m_List.m_Instances.find(Each->first);
-    if (m_Lives.believes(Entry.life())) {
-      m_Lives.note(Entry.life());
+    if (m_Incarnations.believes(Entry.incarnation())) {
+      m_Incarnations.note(Entry.incarnation());
     } else if (Before != m_List.m_Instances.end() &&
-               m_Lives.believes(Before->second.life())) {
+               m_Incarnations.believes(Before->second.incarnation())) {
       Entry = Before->second;
     } else {
       Each = List.m_Instances.erase(Each);
@@ -31,71 +31,78 @@
   }
 }
 
-void ServingView::markSaidLeaving(InstanceList &List, TimePoint Now) {
-  for (auto &[Id, Said] : m_SaidLeaving) {
+void ServingView::markLeavingUpstreams(InstanceList &List, TimePoint Now) {
+  for (auto &[Id, Notice] : m_LeavingNotices) {
     const auto Entry = List.m_Instances.find(Id);
     if (Entry == List.m_Instances.end())
       continue;
-    Said.m_Listed = Now;
-    if (Entry->second.m_Born == Said.m_Born)
+    Notice.m_Listed = Now;
+    if (Entry->second.m_StartTime == Notice.m_StartTime)
       Entry->second.m_Draining = true;
   }
-  std::erase_if(m_SaidLeaving, [&](const auto &Each) {
+  std::erase_if(m_LeavingNotices, [&](const auto &Each) {
     return Now - Each.second.m_Listed > RememberFor;
   });
 }
 
-void ServingView::saidLeaving(const UpstreamLife &Server, TimePoint Now) {
-  if (!m_Lives.believes(Server))
+void ServingView::markLeaving(const UpstreamIncarnation &Upstream,
+                              TimePoint Now) {
+  if (!m_Incarnations.believes(Upstream))
     return;
-  m_SaidLeaving[Server.m_Id] = {.m_Born = Server.m_Born, .m_Listed = Now};
-  const auto Entry = m_List.m_Instances.find(Server.m_Id);
-  if (Entry == m_List.m_Instances.end() || Entry->second.life() != Server)
+  m_LeavingNotices[Upstream.m_Id] = {.m_StartTime = Upstream.m_StartTime,
+                                     .m_Listed = Now};
+  const auto Entry = m_List.m_Instances.find(Upstream.m_Id);
+  if (Entry == m_List.m_Instances.end() ||
+      Entry->second.incarnation() != Upstream)
     return;
   Entry->second.m_Draining = true;
-  m_Leaving.try_emplace(Server.m_Id,
+  m_Leaving.try_emplace(Upstream.m_Id,
                         Leaving{.m_Instance = Entry->second, .m_Since = Now});
-  refresh(Server.m_Id, Now);
+  refresh(Upstream.m_Id, Now);
 }
 
-/// Forgets what is known of starts before those in \p List. \returns what they
-/// were before.
+/// Forgets what is known of incarnations before those in \p List. \returns the
+/// previous entries of the upstreams that have started again.
 std::vector<UpstreamInstance>
-ServingView::startedAgain(const InstanceList &List, TimePoint Now) {
+ServingView::recordRestarts(const InstanceList &List, TimePoint Now) {
   std::vector<UpstreamInstance> Result;
   for (const auto &[Id, Each] : List.m_Instances) {
-    if (!m_ListedLives.note(Each.life()))
+    if (!m_ListedIncarnations.note(Each.incarnation()))
       continue;
     const auto Before = m_List.m_Instances.find(Id);
     Result.push_back(Before == m_List.m_Instances.end() ? Each
                                                         : Before->second);
-    forgetBefore(Each.life());
-    m_AgainAt[Id] = Now;
+    forgetBefore(Each.incarnation());
+    m_RestartedAt[Id] = Now;
   }
   return Result;
 }
 
-std::size_t ServingView::tellingBirth() const {
-  const auto Tells = [](const auto &Each) { return Each.second.m_Born != 0; };
+std::size_t ServingView::countWithStartTime() const {
+  const auto Reports = [](const auto &Each) {
+    return Each.second.m_StartTime != 0;
+  };
   return static_cast<std::size_t>(std::count_if(
-      m_List.m_Instances.begin(), m_List.m_Instances.end(), Tells));
+      m_List.m_Instances.begin(), m_List.m_Instances.end(), Reports));
 }
 
-std::optional<TimePoint>
-ServingView::startedAgainAt(const InstanceId &Id) const {
-  const auto Found = m_AgainAt.find(Id);
-  return Found == m_AgainAt.end() ? std::nullopt : std::optional(Found->second);
+std::optional<TimePoint> ServingView::restartedAt(const InstanceId &Id) const {
+  const auto Found = m_RestartedAt.find(Id);
+  return Found == m_RestartedAt.end() ? std::nullopt
+                                      : std::optional(Found->second);
 }
 
-void ServingView::forgetBefore(const UpstreamLife &Life) {
-  const InstanceId &Id = Life.m_Id;
+void ServingView::forgetBefore(const UpstreamIncarnation &Incarnation) {
+  const InstanceId &Id = Incarnation.m_Id;
   m_Leaving.erase(Id);
   m_ListedAt.erase(Id);
-  if (const auto Word = m_Told.find(Id);
-      Word != m_Told.end() && Word->second.m_Born != Life.m_Born)
-    m_Told.erase(Word);
+  if (const auto Report = m_LeaderReports.find(Id);
+      Report != m_LeaderReports.end() &&
+      Report->second.m_StartTime != Incarnation.m_StartTime)
+    m_LeaderReports.erase(Report);
   if (const auto Load = m_Loads.find(Id);
-      Load != m_Loads.end() && Load->second.m_Born != Life.m_Born)
+      Load != m_Loads.end() &&
+      Load->second.m_StartTime != Incarnation.m_StartTime)
     m_Loads.erase(Load);
 }
 
@@ -103,8 +110,8 @@
                                                   TimePoint Now) {
   if (m_Known && List.m_Revision < m_List.m_Revision)
     return {};
-  keepNewestLives(List);
-  markSaidLeaving(List, Now);
+  keepNewestIncarnations(List);
+  markLeavingUpstreams(List, Now);
   std::vector<UpstreamInstance> Gone;
   std::erase_if(m_Leaving, [&](const auto &Each) {
     return Now - Each.second.m_Since > RememberFor;
@@ -115,7 +122,7 @@
     m_Leaving.try_emplace(Id, Leaving{.m_Instance = Before, .m_Since = Now});
     Gone.push_back(Before);
   }
-  const std::vector<UpstreamInstance> Again = startedAgain(List, Now);
+  const std::vector<UpstreamInstance> Restarted = recordRestarts(List, Now);
   for (const auto &[Id, Each] : List.m_Instances) {
     if (Each.m_Draining)
       m_Leaving.try_emplace(Id, Leaving{.m_Instance = Each, .m_Since = Now});
@@ -130,91 +137,95 @@
   m_List = std::move(List);
   m_Known = true;
   for (const UpstreamInstance &Each : Gone) {
-    m_Told.erase(Each.m_Id);
+    m_LeaderReports.erase(Each.m_Id);
     m_Loads.erase(Each.m_Id);
     m_ListedAt.erase(Each.m_Id);
   }
-  Gone.insert(Gone.end(), Again.begin(), Again.end());
+  Gone.insert(Gone.end(), Restarted.begin(), Restarted.end());
   m_Current.clear();
   for (const auto &[Id, Each] : m_List.m_Instances)
     refresh(Id, Now);
   return Gone;
 }
 
-bool ServingView::evacuate(Evacuations Asked, TimePoint Now) {
-  if (Asked.m_Revision < m_Evacuations.m_Revision)
+bool ServingView::setEvacuations(Evacuations Requested, TimePoint Now) {
+  if (Requested.m_Revision < m_Evacuations.m_Revision)
     return false;
   for (const DataCentreName &Each : m_Evacuations.m_DataCentres)
-    if (!Asked.contains(Each))
-      m_ReturnedAt[Each] = Now;
-  for (const DataCentreName &Each : Asked.m_DataCentres)
-    m_ReturnedAt.erase(Each);
-  const bool Changed = Asked.m_DataCentres != m_Evacuations.m_DataCentres;
-  m_Evacuations = std::move(Asked);
+    if (!Requested.contains(Each))
+      m_EvacuationEndedAt[Each] = Now;
+  for (const DataCentreName &Each : Requested.m_DataCentres)
+    m_EvacuationEndedAt.erase(Each);
+  const bool Changed = Requested.m_DataCentres != m_Evacuations.m_DataCentres;
+  m_Evacuations = std::move(Requested);
   return Changed;
 }
 
 bool ServingView::evacuated(const UpstreamInstance &Upstream) const {
-  // Hardly ever is there one, and each request asks for each upstream.
+  // A short cut for the usual case of none, as each request asks this for each
+  // upstream.
   return !m_Evacuations.m_DataCentres.empty() &&
          m_Evacuations.contains(DataCentreName(Upstream.m_Zone));
 }
 
 std::optional<TimePoint>
-ServingView::returnedAt(const UpstreamInstance &Upstream) const {
-  const auto Found = m_ReturnedAt.find(DataCentreName(Upstream.m_Zone));
-  return Found == m_ReturnedAt.end() ? std::nullopt
-                                     : std::optional(Found->second);
+ServingView::evacuationEndedAt(const UpstreamInstance &Upstream) const {
+  const auto Found = m_EvacuationEndedAt.find(DataCentreName(Upstream.m_Zone));
+  return Found == m_EvacuationEndedAt.end() ? std::nullopt
+                                            : std::optional(Found->second);
 }
 
 void ServingView::refresh(const InstanceId &Id, TimePoint Now) {
   const auto Listed = m_List.m_Instances.find(Id);
   if (Listed == m_List.m_Instances.end())
     return;
-  // It has started again, and the list does not say yet what it is now.
-  if (!m_Lives.believes(Listed->second.life())) {
+  // The upstream has started again, and its new entry is not listed yet.
+  if (!m_Incarnations.believes(Listed->second.incarnation())) {
     m_Current.erase(Id);
     return;
   }
   UpstreamInstance &Current = m_Current[Id] = Listed->second;
-  const auto Word = m_Told.find(Id);
-  if (Word == m_Told.end())
+  const auto Report = m_LeaderReports.find(Id);
+  if (Report == m_LeaderReports.end())
     return;
-  const TimePoint At = Word->second.m_At;
-  if (Now - At <= m_Opts.m_WordFresh || At >= m_ListedAt[Id])
-    Current.m_Models = Word->second.m_Models;
+  const TimePoint At = Report->second.m_At;
+  if (Now - At <= m_Opts.m_LeaderReportTtl || At >= m_ListedAt[Id])
+    Current.m_Models = Report->second.m_Models;
 }
 
-void ServingView::told(const UpstreamLife &Engine,
-                       std::vector<ResidentModel> Models,
-                       std::set<std::string> Retiring, TimePoint Now) {
-  if (!m_Lives.believes(Engine))
+void ServingView::recordLeaderReport(const UpstreamIncarnation &Engine,
+                                     std::vector<ResidentModel> Models,
+                                     std::set<std::string> Retiring,
+                                     TimePoint Now) {
+  if (!m_Incarnations.believes(Engine))
     return;
-  if (m_Lives.note(Engine))
+  if (m_Incarnations.note(Engine))
     m_Loads.erase(Engine.m_Id);
-  m_Told[Engine.m_Id] = {.m_Models = std::move(Models),
-                         .m_Retiring = std::move(Retiring),
-                         .m_At = Now,
-                         .m_Born = Engine.m_Born};
+  m_LeaderReports[Engine.m_Id] = {.m_Models = std::move(Models),
+                                  .m_Retiring = std::move(Retiring),
+                                  .m_At = Now,
+                                  .m_StartTime = Engine.m_StartTime};
   refresh(Engine.m_Id, Now);
 }
 
-void ServingView::toldLoad(const UpstreamLife &Engine, const std::string &Model,
-                           TimePoint ServesAt) {
-  if (!m_Lives.believes(Engine))
+void ServingView::recordLeaderLoad(const UpstreamIncarnation &Engine,
+                                   const std::string &Model,
+                                   TimePoint ServesAt) {
+  if (!m_Incarnations.believes(Engine))
     return;
   if (Model.empty())
     m_Loads.erase(Engine.m_Id);
   else
-    m_Loads[Engine.m_Id] = {
-        .m_Model = Model, .m_ServesAt = ServesAt, .m_Born = Engine.m_Born};
+    m_Loads[Engine.m_Id] = {.m_Model = Model,
+                            .m_ServesAt = ServesAt,
+                            .m_StartTime = Engine.m_StartTime};
 }
 
-bool ServingView::anyOf(
+bool ServingView::anyAvailable(
     const std::string &Service,
     const std::function<bool(const InstanceId &)> &Excluded) const {
   return std::any_of(m_Current.begin(), m_Current.end(), [&](const auto &Each) {
-    return Each.second.m_Service == Service && !leaves(Each.second) &&
+    return Each.second.m_Service == Service && !isLeaving(Each.second) &&
            !Excluded(Each.first);
   });
 }
@@ -228,7 +239,7 @@
     if (Each.m_Model != Model || Now - Each.m_ServesAt > m_Opts.m_LoadOverdue)
       continue;
     const auto Engine = m_Current.find(Id);
-    if (Engine == m_Current.end() || leaves(Engine->second) ||
+    if (Engine == m_Current.end() || isLeaving(Engine->second) ||
         Engine->second.m_Service != Service ||
         Engine->second.holds(Model, "") || Excluded(Id))
       continue;
@@ -239,17 +250,18 @@
 
 bool ServingView::retiring(const InstanceId &Id, const std::string &Model,
                            TimePoint Now) const {
-  const auto Found = m_Told.find(Id);
-  return Found != m_Told.end() && Found->second.m_Retiring.contains(Model) &&
-         Now - Found->second.m_At <= m_Opts.m_RetiringHolds;
+  const auto Found = m_LeaderReports.find(Id);
+  return Found != m_LeaderReports.end() &&
+         Found->second.m_Retiring.contains(Model) &&
+         Now - Found->second.m_At <= m_Opts.m_RetiringTtl;
 }
 
 const UpstreamInstance *ServingView::find(const InstanceId &Id) const {
   const auto Listed = m_Current.find(Id);
   if (Listed != m_Current.end())
     return &Listed->second;
-  const auto Left = m_Leaving.find(Id);
-  return Left == m_Leaving.end() ? nullptr : &Left->second.m_Instance;
+  const auto Gone = m_Leaving.find(Id);
+  return Gone == m_Leaving.end() ? nullptr : &Gone->second.m_Instance;
 }
 
 std::vector<const UpstreamInstance *>
@@ -270,7 +282,8 @@
     return Result;
   for (const auto &[Id, Each] : m_Leaving)
     if (Now - Each.m_Since <= m_Opts.m_LastResort &&
-        m_Lives.believes(Each.m_Instance.life()) && Fits(Each.m_Instance))
+        m_Incarnations.believes(Each.m_Instance.incarnation()) &&
+        Fits(Each.m_Instance))
       Result.push_back(&Each.m_Instance);
   return Result;
 }
--- a/packages/decisions/process/ServingView.h
+++ b/packages/decisions/process/ServingView.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a box knows of the upstreams, and which of them may take a request.
+/// Keeps what a box knows of the upstreams, and which may take a request.
 #ifndef HAVENSTAIR_DECISIONS_PROCESS_SERVINGVIEW_H
 #define HAVENSTAIR_DECISIONS_PROCESS_SERVINGVIEW_H
 
@@ -15,91 +15,104 @@
 
 namespace havenstair {
 
-/// Upstreams by the newest list, with the time at which each was first seen to
-/// be leaving. A leaving upstream takes requests only while nothing else can,
-/// and never after `LastResort`.
+/// Merges the newest list of upstreams with what the leader reports of engines
+/// and what upstreams signal themselves. A leaving upstream takes requests only
+/// while no other can, and not for longer than `Options::m_LastResort`.
 class ServingView {
 public:
   struct Options {
-    /// How long after the news an upstream that leaves may still be used.
+    /// How long an upstream may still be used after it was first known to be
+    /// leaving.
     Duration m_LastResort = 400ms;
-    /// How long the word that a model retires holds without being repeated.
-    Duration m_RetiringHolds = 6s;
-    /// How long the word of the box that gives orders is fresh.
-    Duration m_WordFresh = 4s;
-    /// A load that is overdue by this is not counted on any more.
+    /// How long a report that a model is being retired holds unless repeated.
+    Duration m_RetiringTtl = 6s;
+    /// How long a report of the leader overrides a newer list.
+    Duration m_LeaderReportTtl = 4s;
+    /// A load that is overdue by more is no longer expected to finish.
     Duration m_LoadOverdue = 1500ms;
   };
 
   ServingView() : ServingView(Options{}) {}
   explicit ServingView(Options Opts) : m_Opts(Opts) {}
 
-  /// Takes over \p List unless a newer one is known; entries of earlier starts
-  /// than the newest that was heard of say nothing. \returns the upstreams of
-  /// which all books are to be forgotten, as they were: those that are no
+  /// Takes over \p List unless a newer one is known; entries of incarnations
+  /// before the newest known one are ignored. \returns the previous entries of
+  /// the upstreams whose state is to be discarded everywhere: those that are no
   /// longer listed, and those that have started again.
   std::vector<UpstreamInstance> update(InstanceList List, TimePoint Now);
 
-  /// What the box that gives orders knows of an engine. The list lags behind
-  /// it, so its word holds while it is fresh; afterwards the later of both.
-  /// \p Retiring: models that take no new requests.
-  /// A word on an earlier start than the newest is dropped.
-  void told(const UpstreamLife &Engine, std::vector<ResidentModel> Models,
-            std::set<std::string> Retiring, TimePoint Now);
-  /// The same word on the model that \p Engine is loading, empty for none.
-  void toldLoad(const UpstreamLife &Engine, const std::string &Model,
-                TimePoint ServesAt);
-  /// Listed upstreams that tell their birth; the others are judged by name.
-  std::size_t tellingBirth() const;
-  /// When it was seen that \p Id had started again; none if it was not.
-  std::optional<TimePoint> startedAgainAt(const InstanceId &Id) const;
-  /// Whether the books are of a later start than \p Life: what is still heard
-  /// of that one changes them no more.
-  bool past(const UpstreamLife &Life) const {
-    return !m_ListedLives.believes(Life);
+  /// Records what the leader knows of an engine. The list lags behind it, so
+  /// the report overrides the list while it is fresh; afterwards the later of
+  /// both holds. \p Retiring: models that take no new requests. A report on an
+  /// incarnation before the newest known one is dropped.
+  void recordLeaderReport(const UpstreamIncarnation &Engine,
+                          std::vector<ResidentModel> Models,
+                          std::set<std::string> Retiring, TimePoint Now);
+  /// Records the model that \p Engine is loading according to the leader; empty
+  /// for none.
+  void recordLeaderLoad(const UpstreamIncarnation &Engine,
+                        const std::string &Model, TimePoint ServesAt);
+  /// Number of listed upstreams that report their start time; restarts of the
+  /// others are not detected.
+  std::size_t countWithStartTime() const;
+  /// When the list first showed that \p Id had started again; empty if it never
+  /// did.
+  std::optional<TimePoint> restartedAt(const InstanceId &Id) const;
+  /// Whether a later incarnation than \p Incarnation has been listed, so that
+  /// reports on that one are to be ignored.
+  bool superseded(const UpstreamIncarnation &Incarnation) const {
+    return !m_ListedIncarnations.believes(Incarnation);
   }
 
-  /// \p Server itself says that it leaves, for the rest of its life, whatever
-  /// lists say of it: they may be older, and the store may not have taken it.
-  void saidLeaving(const UpstreamLife &Server, TimePoint Now);
+  /// Records that \p Upstream signalled that it is leaving. That holds for the
+  /// rest of the incarnation, whatever lists say, as these may be older and the
+  /// store may have missed the change.
+  void markLeaving(const UpstreamIncarnation &Upstream, TimePoint Now);
 
-  /// Takes over what operators have asked for unless newer is known. \returns
-  /// whether that changes where requests may go.
-  bool evacuate(Evacuations Asked, TimePoint Now);
+  /// Takes over the evacuations that operators requested unless newer ones are
+  /// known. \returns whether the evacuated data centres changed.
+  bool setEvacuations(Evacuations Requested, TimePoint Now);
   const Evacuations &evacuations() const { return m_Evacuations; }
+  /// Whether the data centre of \p Upstream is evacuated.
   bool evacuated(const UpstreamInstance &Upstream) const;
-  /// Whether \p Upstream is to get no more work: it leaves, or stands in an
-  /// evacuated data centre.
-  bool leaves(const UpstreamInstance &Upstream) const {
+  /// Whether \p Upstream is to get no more work, because it is draining or its
+  /// data centre is evacuated.
+  bool isLeaving(const UpstreamInstance &Upstream) const {
     return Upstream.m_Draining || evacuated(Upstream);
   }
-  /// When the evacuation of \p Upstream's data centre was last known to be
-  /// taken away; none when it was not, or stands. It may have grown cold.
-  std::optional<TimePoint> returnedAt(const UpstreamInstance &Upstream) const;
+  /// When this box learned that the evacuation of \p Upstream's data centre had
+  /// ended; empty when there was none or it is in force. The upstream may have
+  /// turned cold during the evacuation.
+  std::optional<TimePoint>
+  evacuationEndedAt(const UpstreamInstance &Upstream) const;
 
   const InstanceList &list() const { return m_List; }
+  /// Whether any list has been received.
   bool known() const { return m_Known; }
 
-  /// An entry of the list or one that has just left it; null otherwise.
+  /// An entry of the list or one that disappeared from it a short while ago;
+  /// null otherwise.
   const UpstreamInstance *find(const InstanceId &Id) const;
-  /// Upstreams of \p Service that hold \p Model with \p Adapter (both may be
-  /// empty), leaving out those that \p Excluded names.
+  /// The upstreams of \p Service that can take a request for \p Model with
+  /// \p Adapter (both may be empty), except for those that \p Excluded accepts.
   std::vector<const UpstreamInstance *>
   candidates(const std::string &Service, const std::string &Model,
              const std::string &Adapter,
              const std::function<bool(const InstanceId &)> &Excluded,
              TimePoint Now) const;
-  /// Whether any upstream of \p Service is listed and not leaving, but for
-  /// those that \p Excluded names.
-  bool anyOf(const std::string &Service,
-             const std::function<bool(const InstanceId &)> &Excluded) const;
-  /// When the next load of \p Model at \p Service is expected to serve,
-  /// leaving out upstreams that \p Excluded names; none when none is under way.
+  /// Whether any upstream of \p Service is listed and not leaving, except for
+  /// those that \p Excluded accepts.
+  bool
+  anyAvailable(const std::string &Service,
+               const std::function<bool(const InstanceId &)> &Excluded) const;
+  /// When the next load of \p Model at \p Service is expected to be finished,
+  /// except for upstreams that \p Excluded accepts; empty when none is under
+  /// way.
   std::optional<TimePoint>
   servesAt(const std::string &Service, const std::string &Model,
            const std::function<bool(const InstanceId &)> &Excluded,
            TimePoint Now) const;
-  /// All entries of the list, with what was told since.
+  /// All entries of the list, updated by reports and signals.
   const std::map<InstanceId, UpstreamInstance> &current() const {
     return m_Current;
   }
@@ -107,30 +120,31 @@
 private:
   struct Leaving {
     UpstreamInstance m_Instance;
-    TimePoint m_Since;
+    TimePoint m_Since; ///< When it was first known to be leaving.
   };
-  struct SaidLeaving {
-    UpstreamBirth m_Born = 0;
-    TimePoint m_Listed{}; ///< Or heard of otherwise; the last time.
+  struct LeavingNotice {
+    StartTime m_StartTime = 0;
+    /// When the upstream was last listed, or when it signalled.
+    TimePoint m_Listed{};
   };
-  struct Told {
+  struct LeaderReport {
     std::vector<ResidentModel> m_Models;
     std::set<std::string> m_Retiring;
     TimePoint m_At{};
-    UpstreamBirth m_Born = 0;
+    StartTime m_StartTime = 0;
   };
 
   struct Load {
     std::string m_Model;
     TimePoint m_ServesAt{};
-    UpstreamBirth m_Born = 0;
+    StartTime m_StartTime = 0;
   };
 
-  void keepNewestLives(InstanceList &List);
-  void markSaidLeaving(InstanceList &List, TimePoint Now);
-  std::vector<UpstreamInstance> startedAgain(const InstanceList &List,
-                                             TimePoint Now);
-  void forgetBefore(const UpstreamLife &Life);
+  void keepNewestIncarnations(InstanceList &List);
+  void markLeavingUpstreams(InstanceList &List, TimePoint Now);
+  std::vector<UpstreamInstance> recordRestarts(const InstanceList &List,
+                                               TimePoint Now);
+  void forgetBefore(const UpstreamIncarnation &Incarnation);
   bool retiring(const InstanceId &Id, const std::string &Model,
                 TimePoint Now) const;
   void refresh(const InstanceId &Id, TimePoint Now);
@@ -138,18 +152,18 @@
   Options m_Opts;
   InstanceList m_List;
   Evacuations m_Evacuations;
-  std::map<DataCentreName, TimePoint> m_ReturnedAt;
+  std::map<DataCentreName, TimePoint> m_EvacuationEndedAt;
   bool m_Known = false;
-  LifeBook m_Lives;       ///< Of all that was heard.
-  LifeBook m_ListedLives; ///< Of the lists; what the books are of.
-  std::map<InstanceId, TimePoint> m_AgainAt;
+  LifeBook m_Incarnations;       ///< Newest known from any source.
+  LifeBook m_ListedIncarnations; ///< Newest that was listed.
+  std::map<InstanceId, TimePoint> m_RestartedAt;
   std::map<InstanceId, Leaving> m_Leaving;
-  std::map<InstanceId, SaidLeaving> m_SaidLeaving;
-  std::map<InstanceId, Told> m_Told;
+  std::map<InstanceId, LeavingNotice> m_LeavingNotices;
+  std::map<InstanceId, LeaderReport> m_LeaderReports;
   std::map<InstanceId, Load> m_Loads;
-  /// When the list last told something new of an upstream.
+  /// When an entry of the list last changed.
   std::map<InstanceId, TimePoint> m_ListedAt;
-  /// The entries of the list with what was told.
+  /// The entries of the list, updated by reports and signals.
   std::map<InstanceId, UpstreamInstance> m_Current;
 };
 
--- a/packages/decisions/process/SharedRetryBudget.cpp
+++ b/packages/decisions/process/SharedRetryBudget.cpp
@@ -15,18 +15,19 @@
 
 SharedRetryBudget::Counts &
 SharedRetryBudget::current(const std::string &Service, TimePoint Now) {
-  Counts &Known = m_Services[Service];
-  dropBefore(Known.m_Requests, Now - m_Opts.m_Window);
-  dropBefore(Known.m_Repeats, Now - m_Opts.m_Window);
-  return Known;
+  Counts &Current = m_Services[Service];
+  dropBefore(Current.m_Requests, Now - m_Opts.m_Window);
+  dropBefore(Current.m_Retries, Now - m_Opts.m_Window);
+  return Current;
 }
 
-void SharedRetryBudget::requested(const std::string &Service, TimePoint Now) {
+void SharedRetryBudget::recordRequest(const std::string &Service,
+                                      TimePoint Now) {
   current(Service, Now).m_Requests.push_back(Now);
 }
 
-/// Which part of its allowance the box may count on by now.
-double SharedRetryBudget::grown(TimePoint Now) const {
+/// Fraction of its share of the allowance that the box may use by now.
+double SharedRetryBudget::allowanceFraction(TimePoint Now) const {
   if (m_Started == TimePoint::min())
     return 1;
   const Duration Age = std::min(Now - m_Started, m_Opts.m_Window);
@@ -35,20 +36,21 @@
 
 bool SharedRetryBudget::trySpend(const std::string &Service, int Boxes,
                                  TimePoint Now) {
-  Counts &Known = current(Service, Now);
-  const double Earned =
-      m_Opts.m_Ratio * static_cast<double>(Known.m_Requests.size());
-  const double Part = grown(Now) * m_Opts.m_Allowance / std::max(Boxes, 1);
-  const double Bound = m_Opts.m_Margin * (Earned + Part);
-  if (static_cast<double>(Known.m_Repeats.size() + 1) > Bound)
+  Counts &Current = current(Service, Now);
+  const double FromRequests =
+      m_Opts.m_Ratio * static_cast<double>(Current.m_Requests.size());
+  const double FromAllowance =
+      allowanceFraction(Now) * m_Opts.m_Allowance / std::max(Boxes, 1);
+  const double Bound = m_Opts.m_Margin * (FromRequests + FromAllowance);
+  if (static_cast<double>(Current.m_Retries.size() + 1) > Bound)
     return false;
-  Known.m_Repeats.push_back(Now);
+  Current.m_Retries.push_back(Now);
   return true;
 }
 
 std::size_t SharedRetryBudget::spent(const std::string &Service,
                                      TimePoint Now) {
-  return current(Service, Now).m_Repeats.size();
+  return current(Service, Now).m_Retries.size();
 }
 
 } // namespace havenstair
--- a/packages/decisions/process/SharedRetryBudget.h
+++ b/packages/decisions/process/SharedRetryBudget.h
@@ -1,5 +1,5 @@
 /// \file
-/// A bound on repeated sends that holds over all boxes without asking them.
+/// Limits retries over all boxes without communication between them.
 #ifndef HAVENSTAIR_DECISIONS_PROCESS_SHAREDRETRYBUDGET_H
 #define HAVENSTAIR_DECISIONS_PROCESS_SHAREDRETRYBUDGET_H
 
@@ -10,45 +10,45 @@
 
 namespace havenstair {
 
-/// For each service, repeats of a sliding window stay below
-/// `Ratio x requests + Allowance / boxes`, where both parts are taken with a
-/// margin. Each box counts its own; the sum over boxes keeps the bound of the
-/// whole.
+/// Limits a box's retries for each service in a sliding window to
+/// `Margin x (Ratio x requests + Allowance / boxes)`. Each box counts its own
+/// requests and retries; the sum over all boxes then keeps the fleet's bound.
 class SharedRetryBudget {
 public:
   struct Options {
-    double m_Ratio = 0.2;
-    double m_Allowance = 10; ///< Of all boxes together.
+    double m_Ratio = 0.2;    ///< Retries per request.
+    double m_Allowance = 10; ///< Retries per window, of all boxes together.
     Duration m_Window = 10s;
-    double m_Margin = 0.8; ///< Part of the bound that is used.
+    double m_Margin = 0.8; ///< Fraction of the bound that is used.
   };
 
-  /// \p Started: when the process did. What it spent in a former life is not
-  /// known, so its part of the allowance is there after a window only: boxes
-  /// that start again would else have it once for each life.
+  /// \p Started: when the process started. What the box spent before a restart
+  /// is not known, so its share of the allowance grows over the first window.
+  /// Otherwise a box would get the share again with each restart.
   explicit SharedRetryBudget(Options Opts, TimePoint Started = TimePoint::min())
       : m_Opts(Opts), m_Started(Started) {}
 
-  /// New bounds; what was counted stays.
+  /// Replaces the bounds and keeps the counts.
   void configure(Options Opts) { m_Opts = Opts; }
 
-  /// A caller's request for \p Service arrived.
-  void requested(const std::string &Service, TimePoint Now);
-  /// Takes one repeat. \returns false when none is left. \p Boxes: the most
-  /// that may share the allowance.
+  /// Counts a caller's request for \p Service.
+  void recordRequest(const std::string &Service, TimePoint Now);
+  /// Takes one retry. \returns false when none is left. \p Boxes: the highest
+  /// number of boxes that may share the allowance.
   bool trySpend(const std::string &Service, int Boxes, TimePoint Now);
-  /// Repeats in the window that ends at \p Now.
+  /// Retries in the window that ends at \p Now.
   std::size_t spent(const std::string &Service, TimePoint Now);
 
 private:
   struct Counts {
     std::deque<TimePoint> m_Requests;
-    std::deque<TimePoint> m_Repeats;
+    std::deque<TimePoint> m_Retries;
   };
 
+  /// The counts of \p Service, without those before the current window.
   Counts &current(const std::string &Service, TimePoint Now);
 
-  double grown(TimePoint Now) const;
+  double allowanceFraction(TimePoint Now) const;
 
   Options m_Opts;
   TimePoint m_Started;
--- a/packages/decisions/process/StoreSlowness.h
+++ b/packages/decisions/process/StoreSlowness.h
@@ -1,5 +1,5 @@
 /// \file
-/// How much longer loads from the store of weights take than when few run.
+/// Estimates by how much loads from the weight store are slowed down.
 #ifndef HAVENSTAIR_DECISIONS_PROCESS_STORESLOWNESS_H
 #define HAVENSTAIR_DECISIONS_PROCESS_STORESLOWNESS_H
 
@@ -7,17 +7,18 @@
 
 namespace havenstair {
 
-/// The store of weights slows down when many loads run. What was learned tells
-/// callers when a model serves, and makes further loads less attractive.
+/// Learns the factor by which loads take longer than nominal, as the weight
+/// store slows down when many loads run. The factor tells callers when a model
+/// will serve, and makes further loads less attractive to the planner.
 class StoreSlowness {
 public:
-  /// A load took \p Factor times its nominal time.
+  /// Records that a load took \p Factor times its nominal time.
   void observe(double Factor) {
-    constexpr double Weight = 0.3;
-    constexpr double Most = 5;
-    m_Factor += Weight * (std::clamp(Factor, 1.0, Most) - m_Factor);
+    constexpr double Weight = 0.3; // Of the newest load in the moving average.
+    constexpr double MaxFactor = 5;
+    m_Factor += Weight * (std::clamp(Factor, 1.0, MaxFactor) - m_Factor);
   }
-  /// From 1 upwards.
+  /// The moving average of factors, at least 1.
   double factor() const { return m_Factor; }
 
 private:
--- a/packages/decisions/process/UpstreamDirectory.cpp
+++ b/packages/decisions/process/UpstreamDirectory.cpp
@@ -12,7 +12,7 @@
   m_Specs.clear();
   for (const UpstreamSpec &Spec : List.m_Upstreams)
     m_Specs[Spec.m_Name] = Spec;
-  // What a peer saw in a still newer list stays marked.
+  // What a peer saw in an even newer list stays marked.
   std::erase_if(m_Leaving,
                 [&](const auto &Item) { return Item.second <= m_Index; });
   for (const auto &[Name, Spec] : m_Specs)
@@ -81,7 +81,7 @@
   Known = std::max(Known, Index);
 }
 
-void UpstreamDirectory::noteSent(const UpstreamName &Upstream) {
+void UpstreamDirectory::recordSent(const UpstreamName &Upstream) {
   ++m_SentSince[Upstream];
 }
 
--- a/packages/decisions/process/UpstreamInstance.h
+++ b/packages/decisions/process/UpstreamInstance.h
@@ -1,10 +1,10 @@
 /// \file
-/// What a running server of a service says of itself.
+/// Defines the entries of the platform's list of upstreams.
 #ifndef HAVENSTAIR_DECISIONS_PROCESS_UPSTREAMINSTANCE_H
 #define HAVENSTAIR_DECISIONS_PROCESS_UPSTREAMINSTANCE_H
 
 #include "decisions/common/Time.h"
-#include "decisions/process/UpstreamLife.h"
+#include "decisions/process/UpstreamIncarnation.h"
 #include <cstdint>
 #include <map>
 #include <optional>
@@ -26,23 +26,25 @@
 struct UpstreamInstance {
   InstanceId m_Id;
   std::string m_Service;
-  std::string m_Address; ///< IP number with port.
-  std::string m_Zone;
-  int m_Slots = 1;
-  bool m_Draining = false;
-  UpstreamBirth m_Born = 0; ///< 0 when it does not tell.
-  /// How much longer it was cold when it said so; zero for a warm one.
+  std::string m_Address;     ///< IP address with port.
+  std::string m_Zone;        ///< Name of its data centre.
+  int m_Slots = 1;           ///< Requests that it runs at once.
+  bool m_Draining = false;   ///< It is leaving and takes no new work.
+  StartTime m_StartTime = 0; ///< 0 when it does not report it.
+  /// How much longer it was cold when it wrote the entry; zero when warm.
   Duration m_ColdFor = 0us;
-  /// Time until it is taken away, when it said so.
+  /// Time until it is shut down, if it announced that.
   std::optional<Duration> m_Remaining;
   std::vector<ResidentModel> m_Models;
-  /// Models whose weights lie in its host memory, and on its disk.
-  std::set<std::string> m_InMemory;
-  std::set<std::string> m_OnDisk;
+  std::set<std::string> m_InMemory; ///< Models with weights in host memory.
+  std::set<std::string> m_OnDisk;   ///< Models with weights on its disk.
 
   bool operator==(const UpstreamInstance &) const = default;
 
-  UpstreamLife life() const { return {.m_Id = m_Id, .m_Born = m_Born}; }
+  UpstreamIncarnation incarnation() const {
+    return {.m_Id = m_Id, .m_StartTime = m_StartTime};
+  }
+  /// Null when \p Model is not in accelerator memory.
   const ResidentModel *resident(const std::string &Model) const {
     for (const ResidentModel &Each : m_Models)
       if (Each.m_Name == Model)
@@ -51,13 +53,13 @@
   }
   /// Whether it can run a request for \p Model with \p Adapter (may be empty).
   bool holds(const std::string &Model, const std::string &Adapter) const {
-    const ResidentModel *Found = resident(Model);
-    return Found != nullptr &&
-           (Adapter.empty() || Found->m_Adapters.contains(Adapter));
+    const ResidentModel *Held = resident(Model);
+    return Held != nullptr &&
+           (Adapter.empty() || Held->m_Adapters.contains(Adapter));
   }
 };
 
-/// All entries, as of one revision of the platform's list.
+/// All upstreams, as of one revision of the platform's list.
 struct InstanceList {
   std::uint64_t m_Revision = 0;
   std::map<InstanceId, UpstreamInstance> m_Instances;
--- a/packages/decisions/process/WarmUp.h
+++ b/packages/decisions/process/WarmUp.h
@@ -1,5 +1,5 @@
 /// \file
-/// How much a server bears for some time after its start.
+/// Defines how much load an upstream takes while it warms up after its start.
 #ifndef HAVENSTAIR_DECISIONS_PROCESS_WARMUP_H
 #define HAVENSTAIR_DECISIONS_PROCESS_WARMUP_H
 
@@ -7,27 +7,27 @@
 
 namespace havenstair {
 
-/// What a service bears of one server that has just started, as its operators
-/// state it.
+/// The warm-up of a service's upstreams, as its operators configure it.
 struct WarmUpSpec {
-  Duration m_After = 0us;    ///< A start leaves a server cold for so long.
-  double m_RequestsPerS = 0; ///< That a cold server bears; 0 for no bound.
+  Duration m_ColdTime = 0us; ///< How long an upstream is cold after a start.
+  double m_RequestsPerSecond = 0; ///< What a cold one takes; 0 for no bound.
 
   bool operator==(const WarmUpSpec &) const = default;
 
-  bool limited() const { return m_RequestsPerS > 0; }
+  /// Whether cold upstreams have a bound.
+  bool limited() const { return m_RequestsPerSecond > 0; }
 };
 
-/// By how much all boxes together may exceed the rate of a cold server.
+/// By how much all boxes together may exceed the rate of a cold upstream.
 struct WarmUpTolerance {
-  double m_Factor = 1;    ///< Of the rate.
-  double m_Allowance = 0; ///< Requests in any second, besides.
+  double m_Factor = 1;    ///< Applied to the rate.
+  double m_Allowance = 0; ///< Requests in any second, in addition.
 
   bool operator==(const WarmUpTolerance &) const = default;
 
-  /// Most requests in any second.
-  double mostPerS(const WarmUpSpec &Of) const {
-    return Of.m_RequestsPerS * m_Factor + m_Allowance;
+  /// Most requests to a cold upstream in any second.
+  double maxRate(const WarmUpSpec &Spec) const {
+    return Spec.m_RequestsPerSecond * m_Factor + m_Allowance;
   }
 };
 
--- a/packages/decisions/process/WarmUpView.h
+++ b/packages/decisions/process/WarmUpView.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which servers are cold, as far as this box knows.
+/// Tracks which upstreams are cold, as far as this box knows.
 /// See docs/design/warm-up.md.
 #ifndef HAVENSTAIR_DECISIONS_PROCESS_WARMUPVIEW_H
 #define HAVENSTAIR_DECISIONS_PROCESS_WARMUPVIEW_H
@@ -15,72 +15,79 @@
 
 namespace havenstair {
 
-/// Takes the list's entries, reports and answers as one source, of which the
-/// later word of a life wins. A start that has not said how long it is cold
-/// counts as cold for the time that its service states.
+/// Merges the entries of the list, reports and answers; the latest statement of
+/// an incarnation wins. An upstream that has started without saying how long it
+/// is cold counts as cold for the time that is configured for its service.
 class WarmUpView {
 public:
   struct Options {
-    /// An entry may have been written this long before it is read here: the
-    /// platform's watch, gathering of changes and two hops.
-    Duration m_EntryLate = 1s;
-    /// Servers write their entries at least this often.
-    Duration m_EntryEvery = 1200ms;
-    /// A life that leaves the list for less, as in an outage of the store, has
-    /// not started again.
+    /// Longest time from the write of an entry to its arrival here: the
+    /// platform's watch, the batching of changes and two hops.
+    Duration m_MaxEntryDelay = 1s;
+    /// Upstreams write their entries at least this often.
+    Duration m_EntryInterval = 1200ms;
+    /// An upstream that is missing from the list for less, as in an outage of
+    /// the store, has not started again.
     Duration m_RememberFor = 60s;
   };
 
   WarmUpView() : WarmUpView(Options{}) {}
   explicit WarmUpView(Options Opts) : m_Opts(Opts) {}
 
-  /// Services in force. Servers of others are never cold.
+  /// Takes over the services in force. Upstreams of others are never cold.
   void configure(const std::vector<ServiceSpec> &Services);
-  /// The newest list. What starts once a list is known counts as cold.
-  void listed(const InstanceList &List, TimePoint Now);
-  /// \p Id said it, in answer to what was sent at \p AskedAt. An answer of an
-  /// unknown server, or to what was sent before its start, says nothing.
-  /// \returns whether it was believed to be warm and is cold.
-  bool told(const InstanceId &Id, Duration ColdFor, TimePoint AskedAt,
-            TimePoint Now);
-  /// \p Id may have turned cold without a word, as after a time without work.
+  /// Takes over the newest list. Upstreams that are new to it count as cold,
+  /// except in the first list.
+  void update(const InstanceList &List, TimePoint Now);
+  /// Records for how much longer \p Id is cold, according to its answer to a
+  /// request that was sent at \p AskedAt. Ignored for an unknown upstream, or
+  /// when the request was sent before its start. \returns whether the upstream
+  /// counted as warm and is cold.
+  bool recordColdTime(const InstanceId &Id, Duration ColdFor, TimePoint AskedAt,
+                      TimePoint Now);
+  /// Counts \p Id as cold, because it may have turned cold without saying so,
+  /// as after a time without work.
   void suspect(const InstanceId &Id, TimePoint Now);
-  /// The same of all that are listed in \p DataCentre.
+  /// Counts all upstreams that are listed in \p DataCentre as cold.
   void suspectAt(const DataCentreName &DataCentre, TimePoint Now);
 
-  /// When a cold server is warm; none for a warm one.
+  /// When a cold upstream will be warm; empty for a warm one.
   std::optional<TimePoint> warmAt(const InstanceId &Id, TimePoint Now) const;
   bool cold(const InstanceId &Id, TimePoint Now) const {
     return warmAt(Id, Now).has_value();
   }
-  UpstreamLife life(const InstanceId &Id) const;
-  /// Null when \p Id is not known, or its service states nothing.
+  /// The newest known incarnation; with start time 0 when \p Id is unknown.
+  UpstreamIncarnation incarnation(const InstanceId &Id) const;
+  /// Null when \p Id is unknown or its service has no bound.
   const WarmUpSpec *spec(const InstanceId &Id) const;
+  /// Empty when \p Id is unknown.
   DataCentreName dataCentre(const InstanceId &Id) const;
-  /// Listed servers of services that state what a cold one bears.
+  /// Listed upstreams of services with a bound for cold ones.
   std::vector<InstanceId> limited() const;
-  /// Cold servers by data centre.
+  /// Number of cold upstreams by data centre.
   std::map<DataCentreName, int> coldByDataCentre(TimePoint Now) const;
-  /// Some service states what a cold server bears.
+  /// Whether any service has a bound for cold upstreams.
   bool active() const { return !m_Specs.empty(); }
 
 private:
-  struct Server {
+  struct Upstream {
     UpstreamInstance m_Entry;
     bool m_Listed = true;
-    TimePoint m_GoneAt{};
+    TimePoint m_GoneAt{}; ///< When it disappeared from the list.
     TimePoint m_WarmAt{};
-    /// What was said before does not end its warm-up.
+    /// When it started or turned cold. Statements from before do not end its
+    /// warm-up.
     TimePoint m_EventAt{};
   };
 
-  void entryChanged(Server &Of, const UpstreamInstance &Entry, TimePoint Now);
-  void start(Server &Of, TimePoint Now);
+  void entryChanged(Upstream &Known, const UpstreamInstance &Entry,
+                    TimePoint Now);
+  void startWarmUp(Upstream &Known, TimePoint Now);
 
   Options m_Opts;
-  bool m_Known = false;
-  std::map<std::string, WarmUpSpec> m_Specs;
-  std::map<InstanceId, Server> m_Servers;
+  bool m_Known = false;                      ///< A list has been received.
+  std::map<std::string, WarmUpSpec> m_Specs; ///< By service.
+  std::map<InstanceId, Upstream> m_Upstreams;
 };
 
 } // namespace havenstair
--- a/packages/decisions/request/ReplicaChoice.cpp
+++ b/packages/decisions/request/ReplicaChoice.cpp
@@ -45,7 +45,7 @@
 /// A cold server takes one request after the other, at its rate. One that names
 /// a limit is as fast as others while a permit is to be had.
 double boundMs(const SendBound &Bound, const ReplicaWeights &Weights) {
-  return Bound.m_Cold ? 1000 / Bound.m_Cold->m_RequestsPerS
+  return Bound.m_Cold ? 1000 / Bound.m_Cold->m_RequestsPerSecond
                       : Weights.m_PermitMs;
 }
 
--- a/packages/decisions/request/RequestReach.cpp
+++ b/packages/decisions/request/RequestReach.cpp
@@ -20,8 +20,8 @@
 
 bool RequestReach::any() const {
   return !m_Regions.bound() ||
-         m_View.anyOf(m_Service,
-                      [&](const InstanceId &Id) { return elsewhere(Id); });
+         m_View.anyAvailable(
+             m_Service, [&](const InstanceId &Id) { return elsewhere(Id); });
 }
 
 std::optional<TimePoint> RequestReach::servesAt(TimePoint Now) const {
--- a/packages/decisions/request/RetryAfterRefusal.cpp
+++ b/packages/decisions/request/RetryAfterRefusal.cpp
@@ -16,7 +16,7 @@
 
 std::optional<RetryAfterRefusal>
 refuseForRetryAfter(const std::vector<const UpstreamInstance *> &Servers,
-                    const ServerWords &Words, double Draw, TimePoint Now) {
+                    const UpstreamSignals &Words, double Draw, TimePoint Now) {
   std::optional<RetryAfterRefusal> First;
   for (const UpstreamInstance *Each : Servers) {
     const auto Until = Words.retryAt(Each->m_Id, Now);
--- a/packages/decisions/request/RetryAfterRefusal.h
+++ b/packages/decisions/request/RetryAfterRefusal.h
@@ -5,7 +5,7 @@
 #define HAVENSTAIR_DECISIONS_REQUEST_RETRYAFTERREFUSAL_H
 
 #include "decisions/common/Time.h"
-#include "decisions/process/ServerWords.h"
+#include "decisions/process/UpstreamSignals.h"
 #include <optional>
 #include <vector>
 
@@ -25,7 +25,7 @@
 /// server at its end.
 std::optional<RetryAfterRefusal>
 refuseForRetryAfter(const std::vector<const UpstreamInstance *> &Servers,
-                    const ServerWords &Words, double Draw, TimePoint Now);
+                    const UpstreamSignals &Words, double Draw, TimePoint Now);
 
 } // namespace havenstair
 
--- a/packages/gateway/process/CrashExchange.cpp
+++ b/packages/gateway/process/CrashExchange.cpp
@@ -57,14 +57,14 @@
 }
 
 CrashWatch::Hooks CrashExchange::watchHooks(CrashWatch::Hooks Outer) {
-  Outer.m_Crashed = [this](const UpstreamLife &Server,
+  Outer.m_Crashed = [this](const UpstreamIncarnation &Server,
                            const std::set<RequestDigest> &Running) {
     m_Hooks.m_Asked("ended");
     crashed(Server, {Running.begin(), Running.end()});
   };
   Outer.m_Lives = [this, Lives = std::move(Outer.m_Lives)](
-                      const UpstreamLife &Server, const AnswerFacts &Answer,
-                      TimePoint AskedAt) {
+                      const UpstreamIncarnation &Server,
+                      const AnswerFacts &Answer, TimePoint AskedAt) {
     m_Hooks.m_Asked("lives");
     Lives(Server, Answer, AskedAt);
     m_Hooks.m_Changed();
@@ -82,19 +82,19 @@
     m_Keeper.write(m_Book.bars(), Now);
 }
 
-void CrashExchange::broke(const UpstreamLife &Server,
+void CrashExchange::broke(const UpstreamIncarnation &Server,
                           const std::optional<RequestDigest> &Request) {
   m_Watch.broke(Server, Request, EventLoop::now());
 }
 
-void CrashExchange::unreachable(const UpstreamLife &Server) {
+void CrashExchange::unreachable(const UpstreamIncarnation &Server) {
   const TimePoint Now = EventLoop::now();
   for (const Run &Each : m_Runs)
     if (Each.m_Server == Server)
       m_Watch.broke(Server, Each.m_Request, Now);
 }
 
-void CrashExchange::ranWell(const UpstreamLife &Server,
+void CrashExchange::ranWell(const UpstreamIncarnation &Server,
                             const RequestDigest &Request) {
   if (m_Runs.size() >= MostRuns)
     m_Runs.pop_front();
@@ -145,7 +145,7 @@
   return std::nullopt;
 }
 
-void CrashExchange::crashed(const UpstreamLife &Server,
+void CrashExchange::crashed(const UpstreamIncarnation &Server,
                             const std::vector<RequestDigest> &Running) {
   std::set<RequestDigest> All(Running.begin(), Running.end());
   for (const Run &Each : m_Runs)
@@ -154,7 +154,7 @@
   const CrashFrame Frame{.m_Server = Server,
                          .m_Running = {All.begin(), All.end()}};
   m_Log.write("server_ended", {{"upstream", Server.m_Id},
-                               {"born", Server.m_Born},
+                               {"born", Server.m_StartTime},
                                {"requests", Frame.m_Running.size()},
                                {"digests", logged(Frame.m_Running)}});
   if (heard(Frame))
--- a/packages/gateway/process/CrashExchange.h
+++ b/packages/gateway/process/CrashExchange.h
@@ -41,10 +41,10 @@
                 Fleet &Boxes, const ServingView &View, CrashBook &Book,
                 DecisionLog &Log, const std::string &Prefix, Hooks Callbacks);
 
-  void broke(const UpstreamLife &Server,
+  void broke(const UpstreamIncarnation &Server,
              const std::optional<RequestDigest> &Request) override;
-  void unreachable(const UpstreamLife &Server) override;
-  void ranWell(const UpstreamLife &Server,
+  void unreachable(const UpstreamIncarnation &Server) override;
+  void ranWell(const UpstreamIncarnation &Server,
                const RequestDigest &Request) override;
   std::optional<Duration> hold(const RequestDigest &Request,
                                TimePoint Now) const override;
@@ -61,7 +61,7 @@
   CrashWatch::Hooks watchHooks(CrashWatch::Hooks Outer);
   /// A run whose server may yet turn out to have ended by it.
   struct Run {
-    UpstreamLife m_Server;
+    UpstreamIncarnation m_Server;
     RequestDigest m_Request;
     TimePoint m_At{};
     bool m_Asked = false; ///< Whether the server lives on.
@@ -71,7 +71,7 @@
   void askAfterRuns(TimePoint Now);
   void confirmRuns(TimePoint Now);
   void cleared(const RequestDigest &Request);
-  void crashed(const UpstreamLife &Server,
+  void crashed(const UpstreamIncarnation &Server,
                const std::vector<RequestDigest> &Running);
   bool heard(const CrashFrame &Frame);
   void tellSuspects(const std::vector<RequestDigest> &Among);
--- a/packages/gateway/process/CrashWatch.cpp
+++ b/packages/gateway/process/CrashWatch.cpp
@@ -23,12 +23,12 @@
                        Hooks Callbacks)
     : m_Client(Client), m_View(View), m_Hooks(std::move(Callbacks)) {}
 
-void CrashWatch::broke(const UpstreamLife &Server,
+void CrashWatch::broke(const UpstreamIncarnation &Server,
                        const std::optional<RequestDigest> &Request,
                        TimePoint Now) {
   const UpstreamInstance *At = m_View.find(Server.m_Id);
   // Who leaves as planned takes with it what still runs.
-  if (At == nullptr || m_View.leaves(*At) || At->m_Remaining)
+  if (At == nullptr || m_View.isLeaving(*At) || At->m_Remaining)
     return;
   if (!m_Broken.contains(Server) && m_Broken.size() >= MostServers)
     return;
@@ -42,13 +42,14 @@
     return;
   if (Of.m_State == State::Ended)
     return m_Hooks.m_Crashed(Server, {*Request});
-  if (m_View.past(Server))
+  if (m_View.superseded(Server))
     return ended(Server);
   if (New || Of.m_State != State::Asked)
     ask(Server, *At);
 }
 
-void CrashWatch::ask(const UpstreamLife &Server, const UpstreamInstance &At) {
+void CrashWatch::ask(const UpstreamIncarnation &Server,
+                     const UpstreamInstance &At) {
   HttpCall Call = m_Hooks.m_Question(At);
   const TimePoint AskedAt = EventLoop::now();
   const TimePoint Until = AskedAt + Call.m_ConnectTimeout;
@@ -61,8 +62,9 @@
       });
 }
 
-void CrashWatch::answered(const UpstreamLife &Server, const HttpAnswer &Answer,
-                          TimePoint AskedAt, bool InTime) {
+void CrashWatch::answered(const UpstreamIncarnation &Server,
+                          const HttpAnswer &Answer, TimePoint AskedAt,
+                          bool InTime) {
   const auto Found = m_Broken.find(Server);
   if (Found == m_Broken.end() || Found->second.m_State == State::Ended)
     return;
@@ -71,14 +73,14 @@
       m_Hooks.m_ReadAnswer(Answer.m_Status, Answer.m_Headers);
   const bool Other =
       !Facts.m_Instance.empty() && Facts.m_Instance != Server.m_Id;
-  if (Refused || Other || m_View.past(Server))
+  if (Refused || Other || m_View.superseded(Server))
     return ended(Server);
   const bool Answered = Answer.m_End == HttpEnd::Complete;
   Found->second.m_State = Answered ? State::Lives : State::Silent;
   m_Hooks.m_Lives(Server, Facts, AskedAt);
 }
 
-void CrashWatch::ended(const UpstreamLife &Server) {
+void CrashWatch::ended(const UpstreamIncarnation &Server) {
   Broken &Of = m_Broken.at(Server);
   Of.m_State = State::Ended;
   const std::set<RequestDigest> Running = Of.m_Running;
@@ -92,28 +94,28 @@
   });
 }
 
-void CrashWatch::heardOfEnd(const UpstreamLife &Server) {
+void CrashWatch::heardOfEnd(const UpstreamIncarnation &Server) {
   const auto Found = m_Broken.find(Server);
   if (Found != m_Broken.end() && (Found->second.m_State == State::Asked ||
                                   Found->second.m_State == State::Silent))
     ended(Server);
 }
 
-bool CrashWatch::mayHaveEnded(const UpstreamLife &Server) const {
+bool CrashWatch::mayHaveEnded(const UpstreamIncarnation &Server) const {
   const auto Found = m_Broken.find(Server);
   return Found != m_Broken.end() && Found->second.m_State != State::Lives;
 }
 
 void CrashWatch::listed(TimePoint Now) {
-  std::vector<UpstreamLife> Ended;
+  std::vector<UpstreamIncarnation> Ended;
   for (const auto &[Server, Of] : m_Broken) {
     const bool Gone = Of.m_State == State::Silent &&
                       !m_View.list().m_Instances.contains(Server.m_Id) &&
                       Now - Of.m_At < Remembered;
-    if (Of.m_State != State::Ended && (Gone || m_View.past(Server)))
+    if (Of.m_State != State::Ended && (Gone || m_View.superseded(Server)))
       Ended.push_back(Server);
   }
-  for (const UpstreamLife &Server : Ended)
+  for (const UpstreamIncarnation &Server : Ended)
     ended(Server);
 }
 
--- a/packages/gateway/process/CrashWatch.h
+++ b/packages/gateway/process/CrashWatch.h
@@ -27,12 +27,12 @@
     std::function<HttpCall(const UpstreamInstance &At)> m_Question;
     std::function<AnswerFacts(int Status, const HttpHeaders &)> m_ReadAnswer;
     /// \p Server ended with \p Running on it.
-    std::function<void(const UpstreamLife &Server,
+    std::function<void(const UpstreamIncarnation &Server,
                        const std::set<RequestDigest> &Running)>
         m_Crashed;
     /// A server that was asked at \p AskedAt lives, as far as it seems.
-    std::function<void(const UpstreamLife &Server, const AnswerFacts &Answer,
-                       TimePoint AskedAt)>
+    std::function<void(const UpstreamIncarnation &Server,
+                       const AnswerFacts &Answer, TimePoint AskedAt)>
         m_Lives;
   };
 
@@ -42,17 +42,17 @@
 
   /// The connection to \p Server broke with \p Request on it, or with one that
   /// is not to blame.
-  void broke(const UpstreamLife &Server,
+  void broke(const UpstreamIncarnation &Server,
              const std::optional<RequestDigest> &Request, TimePoint Now);
   /// Another box has found that \p Server ended.
-  void heardOfEnd(const UpstreamLife &Server);
+  void heardOfEnd(const UpstreamIncarnation &Server);
   /// Whether a server on which \p Request was is being asked.
   bool asking(const RequestDigest &Request) const;
   /// The list of servers has changed.
   void listed(TimePoint Now);
   /// Whether connections to \p Server broke lately and it has not answered
   /// since.
-  bool mayHaveEnded(const UpstreamLife &Server) const;
+  bool mayHaveEnded(const UpstreamIncarnation &Server) const;
   void prune(TimePoint Now);
 
 private:
@@ -70,15 +70,15 @@
     std::shared_ptr<void> m_Question;
   };
 
-  void ask(const UpstreamLife &Server, const UpstreamInstance &At);
-  void answered(const UpstreamLife &Server, const HttpAnswer &Answer,
+  void ask(const UpstreamIncarnation &Server, const UpstreamInstance &At);
+  void answered(const UpstreamIncarnation &Server, const HttpAnswer &Answer,
                 TimePoint AskedAt, bool InTime);
-  void ended(const UpstreamLife &Server);
+  void ended(const UpstreamIncarnation &Server);
 
   HttpClient &m_Client;
   const ServingView &m_View;
   Hooks m_Hooks;
-  std::map<UpstreamLife, Broken> m_Broken;
+  std::map<UpstreamIncarnation, Broken> m_Broken;
 };
 
 } // namespace havenstair
--- a/packages/gateway/process/FleetExchange.cpp
+++ b/packages/gateway/process/FleetExchange.cpp
@@ -271,7 +271,7 @@
   // A part of the list would pass for the whole one.
   if (m_Leaves.empty() || List.part())
     return m_LeafLists.clear();
-  const Shortlist &Of = m_Of.m_Registry.shortlist();
+  const UpstreamSubset &Of = m_Of.m_Registry.shortlist();
   const TimePoint Now = EventLoop::now();
   std::map<DataCentreName, std::optional<EncodedFrame>> News;
   const std::map<BoxName, Leaf> Leaves = m_Leaves;
@@ -466,8 +466,10 @@
   const TimePoint Now = EventLoop::now();
   for (const EngineContents &Each : Frame.m_Engines) {
     ServingView &Upstreams = m_Of.m_State.m_Upstreams;
-    Upstreams.told(Each.life(), Each.m_Models, Each.m_Retiring, Now);
-    Upstreams.toldLoad(Each.life(), Each.m_Loading, Now + Each.m_ServesIn);
+    Upstreams.recordLeaderReport(Each.life(), Each.m_Models, Each.m_Retiring,
+                                 Now);
+    Upstreams.recordLeaderLoad(Each.life(), Each.m_Loading,
+                               Now + Each.m_ServesIn);
   }
   toLeaves(Frame);
   m_Hooks.m_ContentsChanged();
--- a/packages/gateway/process/Gateway.cpp
+++ b/packages/gateway/process/Gateway.cpp
@@ -87,7 +87,7 @@
           [this](const auto &Of, const auto &Report, TimePoint AskedAt) {
             m_Permits->heard(Of.m_Id, Report.m_ColdFor, AskedAt);
             if (Report.m_Leaving)
-              m_Words->heardLeaving(Of.life());
+              m_Words->recordLeaving(Of.incarnation());
           })),
       m_Forwarder(
           Loop, m_UpstreamHttp, m_State, m_Binding.m_Dialect, m_Log,
@@ -179,7 +179,8 @@
                   },
               .m_Needless =
                   [this](const BoxName &Box, const InstanceId &Server) {
-                    m_Words->tellNoLimit(Box, m_State.m_WarmUp.life(Server));
+                    m_Words->tellNoLimit(Box,
+                                         m_State.m_WarmUp.incarnation(Server));
                   }})),
       m_Crashes(std::make_shared<CrashExchange>(
           Loop, m_UpstreamHttp, *m_Store, m_Fleet, m_State.m_Upstreams,
@@ -252,13 +253,13 @@
                       // It may have started again and be cold, and this word
                       // comes before the list's.
                       .m_Lives =
-                          [this](const UpstreamLife &Server,
+                          [this](const UpstreamIncarnation &Server,
                                  const AnswerFacts &Answer, TimePoint AskedAt) {
                             if (Answer.m_ColdFor)
                               m_Permits->heard(Server.m_Id, *Answer.m_ColdFor,
                                                AskedAt);
                             if (Answer.m_Leaving)
-                              m_Words->heardLeaving(Server);
+                              m_Words->recordLeaving(Server);
                           }},
           .m_Changed = [this] { m_Forwarder.crashesChanged(); },
           .m_Asked = [this](auto What) { m_Metrics.serverAsked(What); },
@@ -343,7 +344,8 @@
   Now.m_FencingToken = Number(m_Giver.holder().m_Token);
   Now.m_LogLinesLeftOut = Number(m_Log.leftOut());
   Now.m_BarredRequests = Number(m_State.m_Crashes.bars().size());
-  Now.m_BackedOffServers = Number(m_State.m_Words.backedOff(EventLoop::now()));
+  Now.m_BackedOffServers =
+      Number(m_State.m_Words.backedOffCount(EventLoop::now()));
   Now.m_LimitedServers = Number(m_State.m_Words.limits().size());
   Now.m_Cold = m_State.m_WarmUp.coldByDataCentre(EventLoop::now());
   m_Metrics.set(Now);
@@ -487,14 +489,14 @@
         Address && m_State.m_Upstreams.list().m_Instances.contains(Each.m_Id))
       m_UpstreamHttp.forget(*Address);
   }
-  m_State.m_Words.listed(m_State.m_Upstreams.list(), EventLoop::now());
+  m_State.m_Words.update(m_State.m_Upstreams.list(), EventLoop::now());
   m_Permits->listed(m_State.m_Upstreams.list());
   m_Crashes->listed();
   m_Log.write("upstreams",
               {{"revision", m_UpstreamMirror.revision()},
                {"listed", m_Registry.size()},
                {"known", m_State.m_Upstreams.list().m_Instances.size()},
-               {"tell_birth", m_State.m_Upstreams.tellingBirth()},
+               {"tell_birth", m_State.m_Upstreams.countWithStartTime()},
                {"gone", std::move(Names)},
                {"all_gone", Gone.size()}});
   m_Exchange.upstreamsChanged();
@@ -522,7 +524,7 @@
   const TimePoint Now = EventLoop::now();
   ServingView &View = m_State.m_Upstreams;
   const Evacuations Before = View.evacuations();
-  const bool Changed = View.evacuate(std::move(Asked), Now);
+  const bool Changed = View.setEvacuations(std::move(Asked), Now);
   if (!Changed && Before.m_Revision > 0)
     return;
   Json Names = Json::array();
--- a/packages/gateway/process/GatewayOptions.h
+++ b/packages/gateway/process/GatewayOptions.h
@@ -6,7 +6,7 @@
 #include "decisions/common/DataCentreMap.h"
 #include "decisions/common/Id.h"
 #include "decisions/common/Time.h"
-#include "decisions/process/QuotaBook.h"
+#include "decisions/process/QuotaLedger.h"
 #include "decisions/process/WarmUp.h"
 #include "wire/common/Endpoint.h"
 #include <optional>
--- a/packages/gateway/process/LeafLists.cpp
+++ b/packages/gateway/process/LeafLists.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-LeafLists::Keys LeafLists::keys(const Shortlist::Chosen &Of,
+LeafLists::Keys LeafLists::keys(const UpstreamSubset::Selection &Of,
                                 const PrefixMirror &List) {
   Keys Result;
   for (const UpstreamInstance *Each : Of) {
@@ -60,7 +60,7 @@
 
 std::optional<EncodedFrame>
 LeafLists::takeNews(const DataCentreName &DataCentre, const PrefixMirror &List,
-                    const Shortlist &Of, TimePoint Now, bool AtOnce) {
+                    const UpstreamSubset &Of, TimePoint Now, bool AtOnce) {
   const auto Found = m_Lists.find(DataCentre);
   if (Found == m_Lists.end() || Found->second.m_At == List.revision())
     return std::nullopt;
@@ -75,7 +75,7 @@
 
 const EncodedFrame &LeafLists::whole(const DataCentreName &DataCentre,
                                      const PrefixMirror &List,
-                                     const Shortlist &Of, TimePoint Now) {
+                                     const UpstreamSubset &Of, TimePoint Now) {
   Told &Known = m_Lists[DataCentre];
   if (!Known.m_Whole) {
     // All is news to one who knows nothing.
--- a/packages/gateway/process/LeafLists.h
+++ b/packages/gateway/process/LeafLists.h
@@ -4,7 +4,7 @@
 #define HAVENSTAIR_GATEWAY_PROCESS_LEAFLISTS_H
 
 #include "decisions/common/Time.h"
-#include "decisions/process/Shortlist.h"
+#include "decisions/process/UpstreamSubset.h"
 #include "gateway/process/PrefixMirror.h"
 #include "wire/connection/EncodedFrame.h"
 #include <map>
@@ -26,12 +26,12 @@
   /// when nothing was ever told.
   std::optional<EncodedFrame> takeNews(const DataCentreName &DataCentre,
                                        const PrefixMirror &List,
-                                       const Shortlist &Of, TimePoint Now,
+                                       const UpstreamSubset &Of, TimePoint Now,
                                        bool AtOnce = false);
   /// All keys for the leaves of \p DataCentre. They must have been told all
   /// news: what comes next goes on from it.
   const EncodedFrame &whole(const DataCentreName &DataCentre,
-                            const PrefixMirror &List, const Shortlist &Of,
+                            const PrefixMirror &List, const UpstreamSubset &Of,
                             TimePoint Now);
   /// Revision of the list that the leaves of \p DataCentre were told; none
   /// before.
@@ -52,7 +52,8 @@
     std::optional<EncodedFrame> m_Whole; ///< As of m_At, once it was asked for.
   };
 
-  static Keys keys(const Shortlist::Chosen &Of, const PrefixMirror &List);
+  static Keys keys(const UpstreamSubset::Selection &Of,
+                   const PrefixMirror &List);
   static bool urgent(const Keys &Before, const Keys &Now,
                      const PrefixMirror &List);
   EncodedFrame take(Told &Of, Keys Now, const PrefixMirror &List,
--- a/packages/gateway/process/ManagedEngine.cpp
+++ b/packages/gateway/process/ManagedEngine.cpp
@@ -24,10 +24,10 @@
 
 } // namespace
 
-bool ManagedEngine::startedAgain(UpstreamBirth Born, TimePoint Now) {
-  if (Born <= m_Born)
+bool ManagedEngine::startedAgain(StartTime Born, TimePoint Now) {
+  if (Born <= m_StartTime)
     return false;
-  if (std::exchange(m_Born, Born) == 0)
+  if (std::exchange(m_StartTime, Born) == 0)
     return false;
   m_Ledger.startAgain(Now);
   beginAnew();
@@ -44,10 +44,10 @@
 
 void ManagedEngine::beginAnew() {
   EngineLedger Ledger = std::move(m_Ledger);
-  const UpstreamBirth Born = m_Born;
+  const StartTime Born = m_StartTime;
   *this = ManagedEngine();
   m_Ledger = std::move(Ledger);
-  m_Born = Born;
+  m_StartTime = Born;
 }
 
 void ManagedEngine::begin(const PlannedMove &Move, TimePoint Now) {
@@ -102,7 +102,7 @@
     Planned.m_Models.insert(Model.m_Name);
   const auto Comes = [&](const std::string &Model) {
     Planned.m_Models.insert(Model);
-    Planned.m_Coming[Model] = std::max(0.0, inMillis(m_ServesAt - Now));
+    Planned.m_Loading[Model] = std::max(0.0, inMillis(m_ServesAt - Now));
   };
   if (const auto &Order = m_Ledger.modelOrder();
       Order && Order->m_Load && !Order->m_Model.empty())
@@ -133,8 +133,9 @@
 
 EngineContents ManagedEngine::lastingContents(const InstanceId &Id,
                                               TimePoint Now) const {
-  EngineContents Result{
-      .m_Engine = Id, .m_Born = m_Born, .m_Models = m_Ledger.models()};
+  EngineContents Result{.m_Engine = Id,
+                        .m_StartTime = m_StartTime,
+                        .m_Models = m_Ledger.models()};
   if (Now - m_AdapterOrderAt >= AdapterArrivesIn)
     for (ResidentModel &Model : Result.m_Models)
       for (const std::string &Adapter : m_Ledger.comingAdapters(Model.m_Name))
@@ -166,8 +167,9 @@
   EngineContents Lasting = lastingContents(Entry.m_Id, Now);
   // The first time, all that they know is what the list says.
   if (!m_Told) {
-    m_Told = {
-        .m_Engine = Entry.m_Id, .m_Born = m_Born, .m_Models = Entry.m_Models};
+    m_Told = {.m_Engine = Entry.m_Id,
+              .m_StartTime = m_StartTime,
+              .m_Models = Entry.m_Models};
     m_ToldServesAt = m_ServesAt;
     m_ToldAt = Now;
   }
--- a/packages/gateway/process/ManagedEngine.h
+++ b/packages/gateway/process/ManagedEngine.h
@@ -31,7 +31,7 @@
 /// it.
 struct ManagedEngine {
   EngineLedger m_Ledger;
-  UpstreamBirth m_Born = 0; ///< Of the start that all of this is of.
+  StartTime m_StartTime = 0; ///< Of the start that all of this is of.
   std::optional<EngineTask> m_Task;
   bool m_ReportAsked = false;
   TimePoint m_NextReport{};
@@ -43,10 +43,10 @@
   /// A word of the start \p Born came. A later one than is known begins
   /// everything anew, but for orders that may still come late. \returns whether
   /// it did.
-  bool startedAgain(UpstreamBirth Born, TimePoint Now);
+  bool startedAgain(StartTime Born, TimePoint Now);
   /// Whether \p Born is the start that is known, or is not told.
-  bool present(UpstreamBirth Born) const {
-    return Born == 0 || m_Born == 0 || Born == m_Born;
+  bool present(StartTime Born) const {
+    return Born == 0 || m_StartTime == 0 || Born == m_StartTime;
   }
   /// What the engine says of itself. \returns whether it shows a start that was
   /// not told; all but late orders begins anew then.
--- a/packages/gateway/process/OrderGiver.cpp
+++ b/packages/gateway/process/OrderGiver.cpp
@@ -200,7 +200,7 @@
 void OrderGiver::keepCopiesOfReturned(TimePoint Now) {
   const ServingView &View = m_State.m_Upstreams;
   const auto Returned = [&](const InstanceId &Id) {
-    return View.returnedAt(entryOf(Id)) == Now;
+    return View.evacuationEndedAt(entryOf(Id)) == Now;
   };
   std::set<std::string> Models;
   for (const auto &[Id, Each] : m_Engines)
@@ -259,14 +259,14 @@
       Known.m_Ledger.setLate(Before.mapped());
       Known.m_Ledger.passTime(Now);
     }
-    const auto AgainAt = m_State.m_Upstreams.startedAgainAt(Id);
-    const bool Again = Known.startedAgain(Entry.m_Born, Now);
+    const auto AgainAt = m_State.m_Upstreams.restartedAt(Id);
+    const bool Again = Known.startedAgain(Entry.m_StartTime, Now);
     if (Again || (New && AgainAt && Now - *AgainAt <= OrderLife))
       countLateOrders(Id, Known, Now);
     // The first word is the engine's own: the list lags behind it.
     if (Known.m_Ledger.known())
       Known.m_Ledger.listed(Entry);
-    if (m_State.m_Upstreams.leaves(Entry))
+    if (m_State.m_Upstreams.isLeaving(Entry))
       Known.m_Task.reset();
   }
 }
@@ -284,7 +284,7 @@
   if (Held)
     Of.m_Ledger.holdUntil(FormerLate);
   m_Log.write("engine_again", {{"engine", Id},
-                               {"born", Of.m_Born},
+                               {"born", Of.m_StartTime},
                                {"late_loads", Loads},
                                {"held", Held}});
 }
@@ -340,9 +340,9 @@
     Of.m_NextReport = Now + ReportAfterFailure;
     return;
   }
-  if (Of.startedAgain(Report->m_Born, Now))
+  if (Of.startedAgain(Report->m_StartTime, Now))
     countLateOrders(Id, Of, Now);
-  if (!Of.present(Report->m_Born))
+  if (!Of.present(Report->m_StartTime))
     return;
   if (Of.heard(*Report, Now, AskedAt))
     countLateOrders(Id, Of, Now);
@@ -461,10 +461,10 @@
                {"gain", To.m_Task ? To.m_Task->m_Move.m_Gain : 0}});
   m_Control.order(Entry->second, Order, Stamp,
                   [this, Id, Order, Source, Token = m_Claim.token(),
-                   Born = To.m_Born](OrderAnswer Answer) {
+                   Born = To.m_StartTime](OrderAnswer Answer) {
                     if (giving() && Token == m_Claim.token())
-                      orderAnswered({.m_Id = Id, .m_Born = Born}, Order, Source,
-                                    Answer);
+                      orderAnswered({.m_Id = Id, .m_StartTime = Born}, Order,
+                                    Source, Answer);
                   });
   return true;
 }
@@ -476,7 +476,7 @@
     m_Ceiling.settled(Id, Now);
 }
 
-void OrderGiver::orderAnswered(const UpstreamLife &Engine,
+void OrderGiver::orderAnswered(const UpstreamIncarnation &Engine,
                                const ResidencyOrder &Order, LoadSource Source,
                                OrderAnswer Answer) {
   const InstanceId &Id = Engine.m_Id;
@@ -490,7 +490,7 @@
                                  {"answer", answerName(Answer)}});
   const auto Found = m_Engines.find(Id);
   // Whatever a former start answered, the order counts as late.
-  if (Found == m_Engines.end() || !Found->second.present(Engine.m_Born))
+  if (Found == m_Engines.end() || !Found->second.present(Engine.m_StartTime))
     return;
   ManagedEngine &Of = Found->second;
   Of.m_Ledger.answered(Answer, Now);
@@ -621,12 +621,13 @@
     if (Entry.m_Service != Service)
       continue;
     double Slowness = m_State.m_Latency.slowness(Id);
-    if (const NamedLimit *Limit = m_State.m_Words.limit(Id);
+    if (const AdvertisedLimit *Limit = m_State.m_Words.limit(Id);
         Limit != nullptr && All.m_Requests > 0)
-      Slowness /= workingPart(Limit->m_PerS, All.m_WorkMs / All.m_Requests);
+      Slowness /=
+          busyFraction(Limit->m_RatePerSecond, All.m_WorkMs / All.m_Requests);
     Input.m_Engines.push_back(
         Each.forModels(Entry, Slowness, m_Opts.m_ReplicaStays, Now));
-    Input.m_Engines.back().m_Leaving = m_State.m_Upstreams.leaves(Entry);
+    Input.m_Engines.back().m_Leaving = m_State.m_Upstreams.isLeaving(Entry);
   }
   return Input;
 }
@@ -697,7 +698,7 @@
   std::vector<AdapterEngine> Engines;
   for (const auto &[Id, Each] : m_Engines) {
     const UpstreamInstance &Entry = entryOf(Id);
-    if (Entry.m_Service != Service || m_State.m_Upstreams.leaves(Entry) ||
+    if (Entry.m_Service != Service || m_State.m_Upstreams.isLeaving(Entry) ||
         !Each.m_Ledger.known())
       continue;
     double Busy = 0;
--- a/packages/gateway/process/OrderGiver.h
+++ b/packages/gateway/process/OrderGiver.h
@@ -128,8 +128,9 @@
                                             TimePoint Now) const;
   bool give(const InstanceId &Id, ManagedEngine &To,
             const ResidencyOrder &Order, LoadSource Source, TimePoint Now);
-  void orderAnswered(const UpstreamLife &Engine, const ResidencyOrder &Order,
-                     LoadSource Source, OrderAnswer Answer);
+  void orderAnswered(const UpstreamIncarnation &Engine,
+                     const ResidencyOrder &Order, LoadSource Source,
+                     OrderAnswer Answer);
   void settleLoad(const InstanceId &Id, const ManagedEngine &Of, TimePoint Now);
   const UpstreamInstance &entryOf(const InstanceId &Id) const;
   void takeNews(const InstanceId &Id, ManagedEngine &Of, TimePoint Now,
--- a/packages/gateway/process/PermitExchange.cpp
+++ b/packages/gateway/process/PermitExchange.cpp
@@ -52,7 +52,7 @@
 }
 
 void PermitExchange::listed(const InstanceList &List) {
-  m_View.listed(List, EventLoop::now());
+  m_View.update(List, EventLoop::now());
   refreshRole();
 }
 
@@ -61,19 +61,19 @@
   std::erase_if(m_PassedOn, [&](const auto &Each) {
     return Now - Each.second.m_Since > RefreshEvery;
   });
-  m_Permits.admits(ownServers(), Now);
+  m_Permits.setUpstreams(ownServers(), Now);
 }
 
-std::map<InstanceId, AdmittedServer> PermitExchange::ownServers() const {
-  std::map<InstanceId, AdmittedServer> Result;
+std::map<InstanceId, AdmittedUpstream> PermitExchange::ownServers() const {
+  std::map<InstanceId, AdmittedUpstream> Result;
   if (!m_Fleet.topology().relay())
     return Result;
   const auto Add = [&](const InstanceId &Server,
                        std::optional<TimePoint> BoundSince) {
     if (admitter(Server) == m_Fleet.self())
       Result.try_emplace(Server,
-                         AdmittedServer{.m_First = firstAdmitter(Server),
-                                        .m_BoundSince = BoundSince});
+                         AdmittedUpstream{.m_First = firstAdmitter(Server),
+                                          .m_BoundSince = BoundSince});
   };
   if (m_View.active())
     for (const InstanceId &Each : m_View.limited())
@@ -130,7 +130,7 @@
     return finish(Of, decide(m_Fleet.self(), Server, Patience));
   const std::uint64_t Id = ++m_LastId;
   Of.m_Timer =
-      m_Loop.after(SendPermits::Validity, [this, Id] { unanswered(Id); });
+      m_Loop.after(PermitIssuer::Validity, [this, Id] { unanswered(Id); });
   m_Asked[Id] = std::move(Of);
   m_Fleet.send(To, PermitAskFrame{
                        .m_Id = Id, .m_Server = Server, .m_Patience = Patience});
@@ -149,9 +149,9 @@
 void PermitExchange::finish(const Asked &Of,
                             const std::optional<PermitVerdict> &Verdict) {
   const TimePoint Now = EventLoop::now();
-  const TimePoint Lapses = Of.m_Since + SendPermits::Validity;
-  const bool Bound = m_Bounds.bound(Of.m_Server, Now);
-  const auto Ends = Bound ? m_Bounds.endsAt(Of.m_Server, Now) : Now;
+  const TimePoint Lapses = Of.m_Since + PermitIssuer::Validity;
+  const bool Bound = m_Bounds.needsPermit(Of.m_Server, Now);
+  const auto Ends = Bound ? m_Bounds.boundEndsAt(Of.m_Server, Now) : Now;
   const bool InTime = Verdict && Now <= Lapses;
   const bool Granted = InTime && Verdict->m_Granted;
   const Duration Away = InTime ? Verdict->m_After : AskAgainAfter;
@@ -162,11 +162,11 @@
     Answer.m_Permit = {.m_From = Now + Verdict->m_After,
                        .m_Until = Lapses + Verdict->m_After};
   else
-    m_Bounds.noteBusy(Of.m_Server, Answer.m_Free, Now);
+    m_Bounds.recordNextPermit(Of.m_Server, Answer.m_Free, Now);
   const std::string_view What = Granted  ? "granted"
                                 : InTime ? "refused"
                                          : "unanswered";
-  const NamedLimit *Limit = m_Words.limit(Of.m_Server);
+  const AdvertisedLimit *Limit = m_Words.limit(Of.m_Server);
   m_Hooks.m_Asked(m_View.dataCentre(Of.m_Server), Limit != nullptr, What);
   m_Log.write(
       "permit",
@@ -175,24 +175,25 @@
        {"after_ms", (Granted ? Verdict->m_After : Away) / 1ms},
        {"asked_ms", (Now - Of.m_Since) / 1ms},
        {"warm_in_ms", Ends ? Json((*Ends - Now) / 1ms) : Json()},
-       {"limit_per_s", Limit != nullptr ? Json(Limit->m_PerS) : Json()},
+       {"limit_per_s",
+        Limit != nullptr ? Json(Limit->m_RatePerSecond) : Json()},
        {"limit_by", Limit != nullptr ? Limit->m_By.str() : ""},
        {"limit_age_ms",
-        Limit != nullptr ? Json((Now - Limit->m_Heard) / 1ms) : Json()}});
+        Limit != nullptr ? Json((Now - Limit->m_ReceivedAt) / 1ms) : Json()}});
   Of.m_Done(Answer);
 }
 
 void PermitExchange::heard(const InstanceId &Server, Duration ColdFor,
                            TimePoint AskedAt) {
-  if (!m_View.told(Server, ColdFor, AskedAt, EventLoop::now()))
+  if (!m_View.recordColdTime(Server, ColdFor, AskedAt, EventLoop::now()))
     return;
   // By the time that others hear of it, it is over.
   if (ColdFor < LeastNews)
     return;
   m_Log.write("turned_cold",
               {{"upstream", Server}, {"cold_ms", ColdFor / 1ms}});
-  m_Fleet.sendAll(
-      WarmUpNewsFrame{.m_Life = m_View.life(Server), .m_ColdFor = ColdFor});
+  m_Fleet.sendAll(WarmUpNewsFrame{.m_Life = m_View.incarnation(Server),
+                                  .m_ColdFor = ColdFor});
 }
 
 void PermitExchange::onFrame(const BoxName &From, const PeerFrame &Frame) {
@@ -245,9 +246,9 @@
   const TimePoint Now = EventLoop::now();
   const InstanceId &Server = Frame.m_Life.m_Id;
   // Of a life that is not the newest here, it says nothing.
-  if (m_View.life(Server) != Frame.m_Life || m_View.cold(Server, Now))
+  if (m_View.incarnation(Server) != Frame.m_Life || m_View.cold(Server, Now))
     return;
-  if (m_View.told(Server, Frame.m_ColdFor, Now, Now))
+  if (m_View.recordColdTime(Server, Frame.m_ColdFor, Now, Now))
     m_Fleet.passOn(Frame, From);
 }
 
--- a/packages/gateway/process/PermitExchange.h
+++ b/packages/gateway/process/PermitExchange.h
@@ -4,9 +4,9 @@
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_PERMITEXCHANGE_H
 #define HAVENSTAIR_GATEWAY_PROCESS_PERMITEXCHANGE_H
 
+#include "decisions/process/PermitIssuer.h"
 #include "decisions/process/SendBounds.h"
-#include "decisions/process/SendPermits.h"
-#include "decisions/process/ServerWords.h"
+#include "decisions/process/UpstreamSignals.h"
 #include "decisions/process/WarmUpView.h"
 #include "gateway/request/PermitDesk.h"
 #include "wire/common/EventLoop.h"
@@ -42,7 +42,7 @@
   /// What a box knows of the servers.
   struct Views {
     WarmUpView &m_WarmUp;
-    const ServerWords &m_Words;
+    const UpstreamSignals &m_Words;
     SendBounds &m_Bounds;
   };
 
@@ -82,7 +82,7 @@
 
   std::optional<BoxName> admitter(const InstanceId &Server) const;
   bool firstAdmitter(const InstanceId &Server) const;
-  std::map<InstanceId, AdmittedServer> ownServers() const;
+  std::map<InstanceId, AdmittedUpstream> ownServers() const;
   BoxName nextBox(const InstanceId &Server) const;
   PermitVerdict decide(const BoxName &For, const InstanceId &Server,
                        Duration Patience);
@@ -95,11 +95,11 @@
   EventLoop &m_Loop;
   Fleet &m_Fleet;
   WarmUpView &m_View;
-  const ServerWords &m_Words;
+  const UpstreamSignals &m_Words;
   SendBounds &m_Bounds;
   DecisionLog &m_Log;
   Hooks m_Hooks;
-  SendPermits m_Permits;
+  PermitIssuer m_Permits;
   std::uint64_t m_LastId = 0;
   std::map<std::uint64_t, Asked> m_Asked;
   std::map<std::uint64_t, PassedOn> m_PassedOn;
--- a/packages/gateway/process/QuotaExchange.cpp
+++ b/packages/gateway/process/QuotaExchange.cpp
@@ -128,7 +128,7 @@
   const TimePoint Now = EventLoop::now();
   QuotaUseFrame Frame{.m_Boxes = static_cast<std::uint32_t>(counted()),
                       .m_Settled = m_Book.settled(Now),
-                      .m_Words = m_Book.takeNews(All, Now)};
+                      .m_Words = m_Book.takeReports(All, Now)};
   if (!All && Frame.m_Words.empty())
     return;
   for (const BoxName &Relay : m_Fleet.linkedRelays())
@@ -279,8 +279,8 @@
 
 void QuotaExchange::take(const BoxName &From, const QuotaUseFrame &Frame) {
   if (m_Counts)
-    m_Book.told(From, Frame.m_Boxes, Frame.m_Settled, Frame.m_Words,
-                EventLoop::now());
+    m_Book.receive(From, Frame.m_Boxes, Frame.m_Settled, Frame.m_Words,
+                   EventLoop::now());
 }
 
 } // namespace havenstair
--- a/packages/gateway/process/QuotaExchange.h
+++ b/packages/gateway/process/QuotaExchange.h
@@ -5,7 +5,7 @@
 #define HAVENSTAIR_GATEWAY_PROCESS_QUOTAEXCHANGE_H
 
 #include "decisions/process/BoxCensus.h"
-#include "decisions/process/QuotaBook.h"
+#include "decisions/process/QuotaLedger.h"
 #include "gateway/request/QuotaDesk.h"
 #include "wire/common/EventLoop.h"
 #include "wire/connection/PeerFrames.h"
@@ -83,7 +83,7 @@
   Fleet &m_Fleet;
   DecisionLog &m_Log;
   Hooks m_Hooks;
-  QuotaBook m_Book;
+  QuotaLedger m_Book;
   BoxCensus m_Census;
   bool m_BoxesKnown = false; ///< Before, any part would be a guess.
   bool m_Counts = false;
--- a/packages/gateway/process/ServerWordExchange.h
+++ b/packages/gateway/process/ServerWordExchange.h
@@ -4,8 +4,8 @@
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_SERVERWORDEXCHANGE_H
 #define HAVENSTAIR_GATEWAY_PROCESS_SERVERWORDEXCHANGE_H
 
-#include "decisions/process/ServerWords.h"
 #include "decisions/process/ServingView.h"
+#include "decisions/process/UpstreamSignals.h"
 #include "gateway/request/ServerWordDesk.h"
 #include "wire/common/EventLoop.h"
 #include "wire/connection/PeerFrames.h"
@@ -30,37 +30,39 @@
   };
 
   ServerWordExchange(EventLoop &Loop, Fleet &Boxes, ServingView &View,
-                     ServerWords &Words, DecisionLog &Log, Hooks Callbacks);
+                     UpstreamSignals &Words, DecisionLog &Log, Hooks Callbacks);
 
-  void heard(const UpstreamLife &Server, const AnswerFacts &Words,
+  void heard(const UpstreamIncarnation &Server, const AnswerFacts &Words,
              TimePoint SentAt) override;
 
   /// \p Server said so in another answer than one to a request.
-  void heardLeaving(const UpstreamLife &Server);
+  void recordLeaving(const UpstreamIncarnation &Server);
   void linkUp(const BoxName &Box);
   /// Tells \p Box, which believes otherwise, that \p Server names no limit.
-  void tellNoLimit(const BoxName &Box, const UpstreamLife &Server);
+  void tellNoLimit(const BoxName &Box, const UpstreamIncarnation &Server);
   void onFrame(const BoxName &From, const PeerFrame &Frame);
 
 private:
-  bool noteLeaving(const UpstreamLife &Server, const BoxName &By);
-  void heardRetryAfter(const UpstreamLife &Server, const AnswerFacts &Words);
-  void heardLimit(const UpstreamLife &Server, const AnswerFacts &Words,
-                  TimePoint SentAt);
-  void noteLimit(const UpstreamLife &Server, LimitChange Change,
-                 const std::optional<NamedLimit> &Before, const BoxName &By);
-  ServerWordFrame wordOf(const UpstreamLife &Server) const;
-  void tellLater(const UpstreamLife &Server);
+  bool noteLeaving(const UpstreamIncarnation &Server, const BoxName &By);
+  void recordRetryAfter(const UpstreamIncarnation &Server,
+                        const AnswerFacts &Words);
+  void recordLimit(const UpstreamIncarnation &Server, const AnswerFacts &Words,
+                   TimePoint SentAt);
+  void noteLimit(const UpstreamIncarnation &Server, LimitChange Change,
+                 const std::optional<AdvertisedLimit> &Before,
+                 const BoxName &By);
+  ServerWordFrame wordOf(const UpstreamIncarnation &Server) const;
+  void tellLater(const UpstreamIncarnation &Server);
   void tellAltered();
 
   EventLoop &m_Loop;
   Fleet &m_Fleet;
   ServingView &m_View;
-  ServerWords &m_Words;
+  UpstreamSignals &m_Words;
   DecisionLog &m_Log;
   Hooks m_Hooks;
   /// Limits whose values have changed since the other boxes were told.
-  std::set<UpstreamLife> m_Altered;
+  std::set<UpstreamIncarnation> m_Altered;
   Timer m_TellTimer;
 };
 
--- a/packages/gateway/process/ServingState.h
+++ b/packages/gateway/process/ServingState.h
@@ -11,9 +11,9 @@
 #include "decisions/process/LoadBook.h"
 #include "decisions/process/PrefixIndex.h"
 #include "decisions/process/SendBounds.h"
-#include "decisions/process/ServerWords.h"
 #include "decisions/process/ServingView.h"
 #include "decisions/process/SharedRetryBudget.h"
+#include "decisions/process/UpstreamSignals.h"
 #include "decisions/process/WarmUpView.h"
 #include "decisions/request/CallerClock.h"
 #include "decisions/version/ServingConfig.h"
@@ -34,7 +34,7 @@
   std::shared_ptr<const ServingConfig> m_Config; ///< Null before the first.
   ServingView m_Upstreams;
   WarmUpView m_WarmUp;
-  ServerWords m_Words;
+  UpstreamSignals m_Words;
   SendBounds m_SendBounds{m_WarmUp, m_Words};
   LoadBook m_Loads;
   PrefixIndex m_Prefixes{PrefixTokens};
--- a/packages/gateway/process/UpstreamRegistry.cpp
+++ b/packages/gateway/process/UpstreamRegistry.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-InstanceList listOf(const Shortlist::Chosen &Of, StoreRevision Revision) {
+InstanceList listOf(const UpstreamSubset::Selection &Of,
+                    StoreRevision Revision) {
   InstanceList Result{.m_Revision = Revision, .m_Instances = {}};
   for (const UpstreamInstance *Each : Of)
     Result.m_Instances.emplace(Each->m_Id, *Each);
@@ -54,14 +55,14 @@
 UpstreamRegistry::read(const std::map<std::string, StoreItem> &Items,
                        StoreRevision Revision, const DataCentreMap &Map) {
   update(Items);
-  m_Shortlist = Shortlist(good(), Map);
+  m_Shortlist = UpstreamSubset(good(), Map);
   return listOf(m_Shortlist.forAll(), Revision);
 }
 
 InstanceList
 UpstreamRegistry::readShortlist(const std::map<std::string, StoreItem> &Items,
                                 StoreRevision Revision) {
-  m_Shortlist = Shortlist();
+  m_Shortlist = UpstreamSubset();
   update(Items);
   return listOf(good(), Revision);
 }
--- a/packages/gateway/process/UpstreamRegistry.h
+++ b/packages/gateway/process/UpstreamRegistry.h
@@ -3,8 +3,8 @@
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_UPSTREAMREGISTRY_H
 #define HAVENSTAIR_GATEWAY_PROCESS_UPSTREAMREGISTRY_H
 
-#include "decisions/process/Shortlist.h"
 #include "decisions/process/UpstreamInstance.h"
+#include "decisions/process/UpstreamSubset.h"
 #include "gateway/process/CoordinationStore.h"
 #include <functional>
 #include <map>
@@ -33,7 +33,7 @@
                              StoreRevision Revision);
 
   /// Of the list that was last read.
-  const Shortlist &shortlist() const { return m_Shortlist; }
+  const UpstreamSubset &shortlist() const { return m_Shortlist; }
   /// Entries of that list.
   std::size_t size() const { return m_Known.size(); }
 
@@ -51,7 +51,7 @@
   Decode m_Decode;
   DecisionLog &m_Log;
   std::map<std::string, Decoded> m_Known; ///< By key.
-  Shortlist m_Shortlist;
+  UpstreamSubset m_Shortlist;
 };
 
 } // namespace havenstair
--- a/packages/gateway/request/CrashDesk.h
+++ b/packages/gateway/request/CrashDesk.h
@@ -5,7 +5,7 @@
 
 #include "decisions/common/Id.h"
 #include "decisions/common/Time.h"
-#include "decisions/process/UpstreamLife.h"
+#include "decisions/process/UpstreamIncarnation.h"
 #include <optional>
 
 namespace havenstair {
@@ -19,12 +19,12 @@
 
   /// The connection to \p Server broke while \p Request was there; none where
   /// it is known not to be to blame.
-  virtual void broke(const UpstreamLife &Server,
+  virtual void broke(const UpstreamIncarnation &Server,
                      const std::optional<RequestDigest> &Request) = 0;
   /// No connection to \p Server came up.
-  virtual void unreachable(const UpstreamLife &Server) = 0;
+  virtual void unreachable(const UpstreamIncarnation &Server) = 0;
   /// \p Server ran all of it and answered well.
-  virtual void ranWell(const UpstreamLife &Server,
+  virtual void ranWell(const UpstreamIncarnation &Server,
                        const RequestDigest &Request) = 0;
   /// How long \p Request waits before it is sent, as it may be barred by then;
   /// none when it need not. News end the wait.
--- a/packages/gateway/request/CrashGuard.cpp
+++ b/packages/gateway/request/CrashGuard.cpp
@@ -53,19 +53,19 @@
 
 /// A stream that had run for seconds would else be taken along from end to end,
 /// barred for them, and what had ended the servers be excused.
-void CrashGuard::broke(const UpstreamLife &Server,
+void CrashGuard::broke(const UpstreamIncarnation &Server,
                        std::optional<TimePoint> Started, TimePoint Now) const {
   const bool Blameless = Started && Now - *Started >= LivesOnFor;
   if (const std::shared_ptr<CrashDesk> Desk = m_Desk.lock())
     Desk->broke(Server, Blameless ? std::nullopt : std::optional(m_Request));
 }
 
-void CrashGuard::unreachable(const UpstreamLife &Server) const {
+void CrashGuard::unreachable(const UpstreamIncarnation &Server) const {
   if (const std::shared_ptr<CrashDesk> Desk = m_Desk.lock())
     Desk->unreachable(Server);
 }
 
-void CrashGuard::ranWell(const UpstreamLife &Server) const {
+void CrashGuard::ranWell(const UpstreamIncarnation &Server) const {
   if (const std::shared_ptr<CrashDesk> Desk = m_Desk.lock())
     Desk->ranWell(Server, m_Request);
 }
--- a/packages/gateway/request/CrashGuard.h
+++ b/packages/gateway/request/CrashGuard.h
@@ -45,10 +45,10 @@
                                 TimePoint Now);
   /// Its connection to \p Server broke, which had begun to answer it at
   /// \p Started.
-  void broke(const UpstreamLife &Server, std::optional<TimePoint> Started,
-             TimePoint Now) const;
-  void unreachable(const UpstreamLife &Server) const;
-  void ranWell(const UpstreamLife &Server) const;
+  void broke(const UpstreamIncarnation &Server,
+             std::optional<TimePoint> Started, TimePoint Now) const;
+  void unreachable(const UpstreamIncarnation &Server) const;
+  void ranWell(const UpstreamIncarnation &Server) const;
 
 private:
   RequestDigest m_Request;
--- a/packages/gateway/request/PermitDesk.h
+++ b/packages/gateway/request/PermitDesk.h
@@ -4,7 +4,7 @@
 #define HAVENSTAIR_GATEWAY_REQUEST_PERMITDESK_H
 
 #include "decisions/common/Time.h"
-#include "decisions/process/UpstreamLife.h"
+#include "decisions/process/UpstreamIncarnation.h"
 #include <functional>
 #include <optional>
 
--- a/packages/gateway/request/ProxiedRequest.cpp
+++ b/packages/gateway/request/ProxiedRequest.cpp
@@ -74,7 +74,7 @@
 
 void ProxiedRequest::begin() {
   ServingState &State = m_Owner.m_State;
-  State.m_Budget.requested(m_Service, m_Arrived);
+  State.m_Budget.recordRequest(m_Service, m_Arrived);
   if (m_Request.m_Deadline)
     m_SinceFirstTry = State.m_Callers.sinceFirstTry(
         m_Route.m_Name, *m_Request.m_Deadline, m_Arrived);
@@ -418,7 +418,7 @@
   ++m_Sends;
   m_Events = EventSplitter();
   m_Send = Send{.m_Instance = To.m_Id,
-                .m_Born = To.m_Born,
+                .m_StartTime = To.m_StartTime,
                 .m_At = Now,
                 .m_PendingMs = Chosen.m_PendingMs,
                 .m_WorkMs = Chosen.m_WorkMs,
@@ -444,7 +444,7 @@
   HttpCall Call = makeCall(To, Now);
   State.m_Loads.sent(To.m_Id, Chosen.m_WorkMs, m_Send->m_Tokens);
   if (!m_Request.m_Model.empty())
-    State.m_Prefixes.noteRead(To.m_Id, m_Request);
+    State.m_Prefixes.recordRead(To.m_Id, m_Request);
   m_Call = m_Owner.m_Client.start(std::move(Call));
   if (!streaming())
     return expectWithin(SilentTargets * m_Route.m_Target);
@@ -582,7 +582,7 @@
 
 /// What a former start of the upstream did says nothing of the present one.
 bool ProxiedRequest::upstreamStartedAgain() const {
-  return m_Owner.m_State.m_Upstreams.past(upstreamLife());
+  return m_Owner.m_State.m_Upstreams.superseded(upstreamLife());
 }
 
 void ProxiedRequest::releaseLoad() {
--- a/packages/gateway/request/ProxiedRequest.h
+++ b/packages/gateway/request/ProxiedRequest.h
@@ -36,7 +36,7 @@
   /// One send to an upstream.
   struct Send {
     InstanceId m_Instance;
-    UpstreamBirth m_Born = 0;
+    StartTime m_StartTime = 0;
     TimePoint m_At{};
     double m_PendingMs = 0;
     double m_WorkMs = 0;
@@ -94,8 +94,8 @@
   void settle(SendOutcome Outcome);
   void noteOutcome(SendOutcome Outcome, TimePoint Now);
   void releaseLoad();
-  UpstreamLife upstreamLife() const {
-    return {.m_Id = m_Send->m_Instance, .m_Born = m_Send->m_Born};
+  UpstreamIncarnation upstreamLife() const {
+    return {.m_Id = m_Send->m_Instance, .m_StartTime = m_Send->m_StartTime};
   }
   bool ranWell(SendOutcome Outcome) const;
   bool upstreamStartedAgain() const;
--- a/packages/gateway/request/QuotaDesk.h
+++ b/packages/gateway/request/QuotaDesk.h
@@ -3,7 +3,7 @@
 #ifndef HAVENSTAIR_GATEWAY_REQUEST_QUOTADESK_H
 #define HAVENSTAIR_GATEWAY_REQUEST_QUOTADESK_H
 
-#include "decisions/process/QuotaBook.h"
+#include "decisions/process/QuotaLedger.h"
 #include <functional>
 #include <optional>
 #include <string>
--- a/packages/gateway/request/RequestPermit.cpp
+++ b/packages/gateway/request/RequestPermit.cpp
@@ -48,7 +48,7 @@
 
 bool RequestPermit::ready(const InstanceId &Server, Duration Patience,
                           TimePoint Now) {
-  if (!m_Bounds.bound(Server, Now)) {
+  if (!m_Bounds.needsPermit(Server, Now)) {
     drop();
     return true;
   }
--- a/packages/gateway/request/ServerWordDesk.h
+++ b/packages/gateway/request/ServerWordDesk.h
@@ -4,7 +4,7 @@
 #define HAVENSTAIR_GATEWAY_REQUEST_SERVERWORDDESK_H
 
 #include "decisions/common/Time.h"
-#include "decisions/process/UpstreamLife.h"
+#include "decisions/process/UpstreamIncarnation.h"
 #include "gateway/request/RequestDialect.h"
 
 namespace havenstair {
@@ -17,8 +17,8 @@
   virtual ~ServerWordDesk() = default;
 
   /// \p Server said \p Words in answer to what was sent to it at \p SentAt.
-  virtual void heard(const UpstreamLife &Server, const AnswerFacts &Words,
-                     TimePoint SentAt) = 0;
+  virtual void heard(const UpstreamIncarnation &Server,
+                     const AnswerFacts &Words, TimePoint SentAt) = 0;
 };
 
 } // namespace havenstair
--- a/packages/havenstaird/process/Box.cpp
+++ b/packages/havenstaird/process/Box.cpp
@@ -176,7 +176,7 @@
           .m_OnAttempt =
               [this](const RequestId &Id, const UpstreamName &Upstream,
                      const BoxName &To) {
-                m_Directory.noteSent(Upstream);
+                m_Directory.recordSent(Upstream);
                 m_Requests.attempt(Id, {Upstream, To});
               }};
 }
--- a/packages/wire/connection/CrashFrames.cpp
+++ b/packages/wire/connection/CrashFrames.cpp
@@ -40,13 +40,13 @@
 
 Json toJson(const CrashFrame &Frame) {
   return {{"server", Frame.m_Server.m_Id},
-          {"born", Frame.m_Server.m_Born},
+          {"born", Frame.m_Server.m_StartTime},
           {"running", digestsToJson(Frame.m_Running)}};
 }
 
 void fromJson(const Json &From, CrashFrame &Frame) {
   Frame.m_Server = {.m_Id = field<std::string>(From, "server"),
-                    .m_Born = field<UpstreamBirth>(From, "born")};
+                    .m_StartTime = field<StartTime>(From, "born")};
   Frame.m_Running = digestsField(From, "running");
 }
 
--- a/packages/wire/connection/CrashFrames.h
+++ b/packages/wire/connection/CrashFrames.h
@@ -12,7 +12,7 @@
 
 /// A server ended; these requests of the sender, or of its leaf, were on it.
 struct CrashFrame {
-  UpstreamLife m_Server;
+  UpstreamIncarnation m_Server;
   std::vector<RequestDigest> m_Running;
 
   bool operator==(const CrashFrame &) const = default;
--- a/packages/wire/connection/FleetFrames.cpp
+++ b/packages/wire/connection/FleetFrames.cpp
@@ -225,8 +225,8 @@
   Json Result{{"token", Frame.m_FencingToken}, {"engines", std::move(Engines)}};
   // Beside the engines: boxes of an earlier release read those as they are.
   for (const EngineContents &Each : Frame.m_Engines)
-    if (Each.m_Born != 0)
-      Result["born"][Each.m_Engine] = Each.m_Born;
+    if (Each.m_StartTime != 0)
+      Result["born"][Each.m_Engine] = Each.m_StartTime;
   return Result;
 }
 
@@ -237,8 +237,8 @@
   for (const Json &Each : list(From, "engines")) {
     EngineContents Contents;
     Contents.m_Engine = text(part(Each, 0, Parts));
-    Contents.m_Born =
-        fieldOr<UpstreamBirth>(Births, Contents.m_Engine.c_str(), 0);
+    Contents.m_StartTime =
+        fieldOr<StartTime>(Births, Contents.m_Engine.c_str(), 0);
     if (!Each[1].is_array() || !Each[2].is_array())
       throw DecodeError("contents of an engine are wrong");
     for (const Json &Model : Each[1])
--- a/packages/wire/connection/FleetFrames.h
+++ b/packages/wire/connection/FleetFrames.h
@@ -106,7 +106,7 @@
 /// What an engine holds, by the box that gives orders.
 struct EngineContents {
   InstanceId m_Engine;
-  UpstreamBirth m_Born = 0; ///< 0 when it does not tell.
+  StartTime m_StartTime = 0; ///< 0 when it does not tell.
   std::vector<ResidentModel> m_Models;
   /// Models that are about to make way: no new requests for them.
   std::set<std::string> m_Retiring;
@@ -116,7 +116,9 @@
 
   bool operator==(const EngineContents &) const = default;
 
-  UpstreamLife life() const { return {.m_Id = m_Engine, .m_Born = m_Born}; }
+  UpstreamIncarnation life() const {
+    return {.m_Id = m_Engine, .m_StartTime = m_StartTime};
+  }
 };
 
 /// From the box that gives orders, whenever something has changed.
--- a/packages/wire/connection/PermitFrames.cpp
+++ b/packages/wire/connection/PermitFrames.cpp
@@ -28,18 +28,19 @@
 
 Json toJson(const WarmUpNewsFrame &Frame) {
   return {{"server", Frame.m_Life.m_Id},
-          {"born", Frame.m_Life.m_Born},
+          {"born", Frame.m_Life.m_StartTime},
           {"cold_us", Frame.m_ColdFor.count()}};
 }
 
 void fromJson(const Json &From, WarmUpNewsFrame &Frame) {
   Frame.m_Life = {.m_Id = field<std::string>(From, "server"),
-                  .m_Born = field<UpstreamBirth>(From, "born")};
+                  .m_StartTime = field<StartTime>(From, "born")};
   Frame.m_ColdFor = durationField(From, "cold_us");
 }
 
 Json toJson(const ServerWordFrame &Frame) {
-  Json Result{{"server", Frame.m_Life.m_Id}, {"born", Frame.m_Life.m_Born}};
+  Json Result{{"server", Frame.m_Life.m_Id},
+              {"born", Frame.m_Life.m_StartTime}};
   if (Frame.m_LimitPerS) {
     Result["per_s"] = *Frame.m_LimitPerS;
     Result["age_us"] = Frame.m_LimitAge.count();
@@ -53,7 +54,7 @@
 
 void fromJson(const Json &From, ServerWordFrame &Frame) {
   Frame.m_Life = {.m_Id = field<std::string>(From, "server"),
-                  .m_Born = field<UpstreamBirth>(From, "born")};
+                  .m_StartTime = field<StartTime>(From, "born")};
   Frame.m_LimitEnded = fieldOr(From, "limit_ended", false);
   Frame.m_Leaving = fieldOr(From, "leaving", false);
   if (!From.contains("per_s"))
--- a/packages/wire/connection/PermitFrames.h
+++ b/packages/wire/connection/PermitFrames.h
@@ -4,7 +4,7 @@
 #ifndef HAVENSTAIR_WIRE_CONNECTION_PERMITFRAMES_H
 #define HAVENSTAIR_WIRE_CONNECTION_PERMITFRAMES_H
 
-#include "decisions/process/SendPermits.h"
+#include "decisions/process/PermitIssuer.h"
 #include "wire/common/Json.h"
 #include <cstdint>
 #include <optional>
@@ -30,7 +30,7 @@
 
 /// A server that was believed to be warm has said that it is cold.
 struct WarmUpNewsFrame {
-  UpstreamLife m_Life;
+  UpstreamIncarnation m_Life;
   Duration m_ColdFor = 0us;
 
   bool operator==(const WarmUpNewsFrame &) const = default;
@@ -38,7 +38,7 @@
 
 /// What a server has said of itself in an answer.
 struct ServerWordFrame {
-  UpstreamLife m_Life;
+  UpstreamIncarnation m_Life;
   /// Requests a second; empty when this frame names no limit.
   std::optional<double> m_LimitPerS;
   bool m_LimitEnded = false; ///< It names none any more.
--- a/packages/wire/connection/QuotaFrames.h
+++ b/packages/wire/connection/QuotaFrames.h
@@ -4,7 +4,7 @@
 #ifndef HAVENSTAIR_WIRE_CONNECTION_QUOTAFRAMES_H
 #define HAVENSTAIR_WIRE_CONNECTION_QUOTAFRAMES_H
 
-#include "decisions/process/QuotaBook.h"
+#include "decisions/process/QuotaLedger.h"
 #include "wire/common/Json.h"
 #include <cstdint>
 #include <string>
@@ -32,7 +32,7 @@
 struct QuotaUseFrame {
   std::uint32_t m_Boxes = 0; ///< It counts for so many, itself among them.
   bool m_Settled = false;    ///< Its levels are not those it started with.
-  QuotaWords m_Words;        ///< Of organisations with news.
+  QuotaReports m_Words;      ///< Of organisations with news.
 
   bool operator==(const QuotaUseFrame &) const = default;
 };
--- a/tests/decisions/process/ColdFleet.h
+++ b/tests/decisions/process/ColdFleet.h
@@ -1,10 +1,10 @@
 /// \file
-/// A fleet of boxes before one server that bears little, on one clock.
+/// Simulates boxes that send to one upstream with little capacity.
 #ifndef HAVENSTAIR_TESTS_DECISIONS_COLDFLEET_H
 #define HAVENSTAIR_TESTS_DECISIONS_COLDFLEET_H
 
-#include "decisions/process/QuotaBook.h"
-#include "decisions/process/SendPermits.h"
+#include "decisions/process/PermitIssuer.h"
+#include "decisions/process/QuotaLedger.h"
 
 #include <algorithm>
 #include <functional>
@@ -16,31 +16,32 @@
 
 namespace havenstair {
 
-inline constexpr WarmUpSpec Spec{.m_After = 3s, .m_RequestsPerS = 6.6};
+inline constexpr WarmUpSpec Spec{.m_ColdTime = 3s, .m_RequestsPerSecond = 6.6};
 inline constexpr WarmUpTolerance Tolerance{.m_Factor = 1.5, .m_Allowance = 5};
 
-/// What the server bears, and what is allowed in any time of some length.
+/// The bound of the upstream, and the most arrivals allowed in a time span.
 struct FleetBound {
   SendBound m_Bound;
-  double m_PerS = 0;
+  double m_RatePerSecond = 0;
   Duration m_Span = 0us;
-  double m_Most = 0;
+  double m_Most = 0; ///< Arrivals allowed in any time of length `m_Span`.
 
   static FleetBound cold() {
     return {.m_Bound = {.m_Cold = Spec, .m_LimitPerS = std::nullopt},
-            .m_PerS = Spec.m_RequestsPerS,
+            .m_RatePerSecond = Spec.m_RequestsPerSecond,
             .m_Span = 1s,
-            .m_Most = Tolerance.mostPerS(Spec)};
+            .m_Most = Tolerance.maxRate(Spec)};
   }
-  static FleetBound limit(double PerS) {
-    return {.m_Bound = {.m_Cold = std::nullopt, .m_LimitPerS = PerS},
-            .m_PerS = PerS,
+  static FleetBound limit(double RatePerSecond) {
+    return {.m_Bound = {.m_Cold = std::nullopt, .m_LimitPerS = RatePerSecond},
+            .m_RatePerSecond = RatePerSecond,
             .m_Span = 4s,
-            .m_Most = 4 * 1.5 * PerS + 5};
+            .m_Most = 4 * 1.5 * RatePerSecond + 5};
   }
 };
 
-/// xorshift64: the same draws for the same seed on every machine.
+/// Random numbers by xorshift64, which yields the same ones for the same seed
+/// on every machine.
 class Dice {
 public:
   explicit Dice(std::uint64_t Seed) : m_State(Seed * 2 + 1) {}
@@ -60,44 +61,45 @@
   std::uint64_t m_State;
 };
 
-/// How boxes keep the rate together; the first stands for what is built.
-enum class Way {
-  Admitter,     ///< One box gives out permits.
-  FullAdmitter, ///< The same with all that is allowed to each admitter.
-  Parts,        ///< Each box sends in turns of its own, without messages.
-  Buckets       ///< Relays tell each other what they used.
+/// How boxes share the rate.
+enum class Strategy {
+  Admitter,     ///< As the product does it: one box issues permits.
+  FullAdmitter, ///< The same, but each issuer issues all that is allowed.
+  TimeSlots,    ///< Each box sends in time slots of its own, without messages.
+  Buckets       ///< Relays report to each other what they used.
 };
 
-/// Boxes and one server, for which requests come all the time. The first nine
-/// boxes are relays, three of them in the server's data centre.
+/// Boxes and one upstream, for which requests arrive all the time. The first
+/// nine boxes are relays, three of them in the upstream's data centre.
 class ColdFleet {
 public:
   static constexpr std::size_t Relays = 9;
-  static constexpr std::size_t Near = 3;
-  static constexpr Duration TellEvery = 40ms;
+  static constexpr std::size_t LocalRelays = 3;
+  static constexpr Duration ReportInterval = 40ms;
 
-  ColdFleet(Way How, std::uint64_t Seed, double Load,
+  ColdFleet(Strategy How, std::uint64_t Seed, double Load,
             const FleetBound &Bound = FleetBound::cold(),
             std::size_t Boxes = 90)
-      : m_Way(How), m_Dice(Seed), m_Load(Load), m_Bound(Bound), m_Boxes(Boxes),
-        m_Permits(Relays, permits()), m_Lists(Relays), m_Reached(Relays),
-        m_Lives(Relays, 0), m_Frozen(Boxes, TimePoint{}), m_NextOfBox(Boxes) {
-    for (std::size_t Each = 0; Each < Near; ++Each)
+      : m_Strategy(How), m_Dice(Seed), m_Load(Load), m_Bound(Bound),
+        m_Boxes(Boxes), m_Permits(Relays, permits()), m_Lists(Relays),
+        m_Reached(Relays), m_Incarnations(Relays, 0),
+        m_Frozen(Boxes, TimePoint{}), m_NextOfBox(Boxes) {
+    for (std::size_t Each = 0; Each < LocalRelays; ++Each)
       m_Store.insert(name(Each));
     for (std::size_t At = 0; At < Relays; ++At) {
       m_Lists[At] = m_Store;
       m_Reached[At] = m_Store;
       m_Buckets.push_back(bucket());
     }
-    // A box learns some time later when the server turned cold.
+    // Boxes learn at different times that the upstream turned cold.
     for (std::size_t Each = 0; Each < m_Boxes; ++Each)
       m_Phase.push_back(m_Dice.upTo(300ms));
-    // Long before the server bears little.
+    // Long before the upstream is bounded.
     for (std::size_t At = 0; At < Relays; ++At)
       refreshRole(At);
-    if (How == Way::Buckets)
-      tellUse();
-    m_Now += SendPermits::ListsSettle;
+    if (How == Strategy::Buckets)
+      reportUse();
+    m_Now += PermitIssuer::ListConvergence;
     run(m_Now);
     m_Arrivals.clear();
     m_From = m_Now;
@@ -106,41 +108,41 @@
 
   void play(Duration Length) { run(m_Now + Length); }
 
-  /// Kills a relay; it starts again under another name, while its former entry
-  /// stays in the store for a lease.
+  /// Kills a relay, which starts again under another name. Its previous entry
+  /// stays in the store until its lease expires.
   void kill(std::size_t At) {
     const BoxName Old = name(At);
-    ++m_Lives[At];
+    ++m_Incarnations[At];
     m_Permits[At] = permits();
     m_Buckets[At] = bucket();
     m_Reached[At].clear();
     m_Lists[At].clear();
-    if (At >= Near)
+    if (At >= LocalRelays)
       return linksChanged();
-    later(Lease, callers(), [=, this] { change(Old, false); });
-    enter(At);
+    later(Lease, callers(), [=, this] { changeEntry(Old, false); });
+    writeEntry(At);
     linksChanged();
   }
-  /// The relays below \p Below and the others no longer hear each other. The
-  /// first ones may lose the store besides.
+  /// Partitions the relays below \p Below from the others. With \p Store the
+  /// former lose the store as well.
   void cut(std::size_t Below, bool Store) {
     m_Cut = Below;
     m_StoreCut = Store;
     linksChanged();
-    for (std::size_t At = 0; At < Near; ++At)
+    for (std::size_t At = 0; At < LocalRelays; ++At)
       later(Lease, callers(), [=, this, Name = name(At)] {
         if (Name == name(At) && !reachesStore(At))
-          change(Name, false);
+          changeEntry(Name, false);
       });
     if (!Store)
-      for (std::size_t At = 0; At < Near; ++At)
-        enter(At);
+      for (std::size_t At = 0; At < LocalRelays; ++At)
+        writeEntry(At);
   }
   void heal() { cut(0, false); }
   void freeze(std::size_t Box, Duration For) { m_Frozen[Box] = m_Now + For; }
 
   std::size_t boxes() const { return m_Boxes; }
-  /// Most arrivals in the time in which they are counted.
+  /// Most arrivals in any time of length `FleetBound::m_Span`.
   std::size_t worstSpan() const {
     std::vector<TimePoint> At = m_Arrivals;
     std::sort(At.begin(), At.end());
@@ -152,10 +154,10 @@
     }
     return Most;
   }
-  /// Part of the rate that arrived.
+  /// Arrivals as a fraction of the rate.
   double used() const {
     return static_cast<double>(m_Arrivals.size()) /
-           (m_Bound.m_PerS * inSeconds(m_Now - m_From));
+           (m_Bound.m_RatePerSecond * inSeconds(m_Now - m_From));
   }
 
 private:
@@ -163,36 +165,36 @@
   static constexpr Duration Lease = 6s;
 
   Duration evenGap() const {
-    const double Rate = Tolerance.m_Factor * m_Bound.m_PerS;
+    const double Rate = Tolerance.m_Factor * m_Bound.m_RatePerSecond;
     return fromMillis(1000 * static_cast<double>(m_Boxes) / Rate);
   }
-  SendPermits permits() const { return SendPermits(Tolerance); }
+  PermitIssuer permits() const { return PermitIssuer(Tolerance); }
   SendBound believed() const {
     SendBound Result = m_Bound.m_Bound;
-    if (m_Way == Way::FullAdmitter && Result.m_Cold)
-      Result.m_Cold->m_RequestsPerS *= 2.5;
-    if (m_Way == Way::FullAdmitter && Result.m_LimitPerS)
+    if (m_Strategy == Strategy::FullAdmitter && Result.m_Cold)
+      Result.m_Cold->m_RequestsPerSecond *= 2.5;
+    if (m_Strategy == Strategy::FullAdmitter && Result.m_LimitPerS)
       Result.m_LimitPerS = *Result.m_LimitPerS * 2.5;
     return Result;
   }
   Quorum quorum() const {
     return m_Bound.m_Bound.m_LimitPerS ? Quorum::Half : Quorum::Majority;
   }
-  QuotaBook bucket() const {
-    QuotaBook Book({.m_Tolerance = {.m_Window = m_Bound.m_Span,
-                                    .m_Overage = Tolerance.m_Factor - 1,
-                                    .m_Allowance = Tolerance.m_Allowance}});
-    Book.setBoxes(1, Relays, m_Now);
-    Organisation Server;
-    Server.m_Name = "e";
-    Server.m_Quota.m_RatePerS = m_Bound.m_PerS;
-    Server.m_Quota.m_Burst = 1;
-    Book.configure({Server}, m_Now);
-    return Book;
+  QuotaLedger bucket() const {
+    QuotaLedger Ledger({.m_Tolerance = {.m_Window = m_Bound.m_Span,
+                                        .m_Overage = Tolerance.m_Factor - 1,
+                                        .m_Allowance = Tolerance.m_Allowance}});
+    Ledger.setBoxes(1, Relays, m_Now);
+    Organisation Upstream;
+    Upstream.m_Name = "e";
+    Upstream.m_Quota.m_RatePerS = m_Bound.m_RatePerSecond;
+    Upstream.m_Quota.m_Burst = 1;
+    Ledger.configure({Upstream}, m_Now);
+    return Ledger;
   }
   BoxName name(std::size_t At) const {
     return BoxName("relay-" + std::to_string(At) + "." +
-                   std::to_string(m_Lives[At]));
+                   std::to_string(m_Incarnations[At]));
   }
   void refreshRole(std::size_t At) {
     std::set<BoxName> Reached = m_Reached[At];
@@ -200,19 +202,19 @@
     const bool Admits =
         admitterOf("e", m_Lists[At], Reached, quorum()) == name(At);
     const bool First = admitterOf("e", m_Lists[At], m_Lists[At]) == name(At);
-    std::map<InstanceId, AdmittedServer> Servers;
+    std::map<InstanceId, AdmittedUpstream> Upstreams;
     if (Admits)
-      Servers["e"] = {.m_First = First, .m_BoundSince = std::nullopt};
-    m_Permits[At].admits(Servers, m_Now);
+      Upstreams["e"] = {.m_First = First, .m_BoundSince = std::nullopt};
+    m_Permits[At].setUpstreams(Upstreams, m_Now);
   }
   bool reachesStore(std::size_t At) const { return !m_StoreCut || At >= m_Cut; }
-  /// The entry of \p At comes to the store, if it can.
-  void enter(std::size_t At) {
+  /// Writes the entry of \p At to the store, if that is reachable.
+  void writeEntry(std::size_t At) {
     if (reachesStore(At))
-      change(name(At), true);
+      changeEntry(name(At), true);
   }
-  /// All read the store's list some time after it changes.
-  void change(const BoxName &Entry, bool Listed) {
+  /// Relays read the store's list some time after it changes.
+  void changeEntry(const BoxName &Entry, bool Listed) {
     if (Listed)
       m_Store.insert(Entry);
     else
@@ -224,12 +226,12 @@
         refreshRole(At);
       });
   }
-  /// Boxes learn of a lost or new link some time later.
+  /// Relays learn of a lost or new link some time later.
   void linksChanged() {
     for (std::size_t At = 0; At < Relays; ++At)
       later(m_Dice.upTo(1s), At, [=, this] {
         m_Reached[At].clear();
-        for (std::size_t Other = 0; Other < Near; ++Other)
+        for (std::size_t Other = 0; Other < LocalRelays; ++Other)
           if (linked(At, Other))
             m_Reached[At].insert(name(Other));
         refreshRole(At);
@@ -239,7 +241,7 @@
     return (A < m_Cut) == (B < m_Cut);
   }
 
-  /// Runs \p What at \p Box, after it has woken.
+  /// Runs \p What at \p Box, later if the box is frozen by then.
   void later(Duration After, std::size_t Box, std::function<void()> What) {
     m_Events.emplace(m_Now + After, Event{Box, std::move(What)});
   }
@@ -257,32 +259,32 @@
     }
     m_Now = Until;
   }
-  /// Few messages take long, and few come twice.
-  Duration way() {
+  /// Delay of a message; few take long.
+  Duration delay() {
     return m_Dice.unit() < 0.02 ? m_Dice.upTo(400ms) : 1ms + m_Dice.upTo(6ms);
   }
 
   void arrive() {
-    const double Gap = 1000 / (m_Load * m_Bound.m_PerS);
+    const double Gap = 1000 / (m_Load * m_Bound.m_RatePerSecond);
     const std::size_t Box = m_Dice.below(m_Boxes);
     request(Box);
-    // The callers are no box: their time goes on.
+    // Callers are not part of a box, so they never freeze.
     m_Events.emplace(m_Now + m_Dice.upTo(fromMillis(2 * Gap)),
                      Event{callers(), [this] { arrive(); }});
   }
   void request(std::size_t Box) {
     if (m_Frozen[Box] > m_Now)
       return;
-    if (m_Way == Way::Parts)
-      return sendPart(Box);
+    if (m_Strategy == Strategy::TimeSlots)
+      return sendInSlot(Box);
     const std::size_t Relay =
         Box < Relays ? Box : 3 * (Box % 3) + m_Dice.below(3);
     const int Copies = m_Dice.unit() < 0.02 ? 2 : 1;
     for (int Copy = 0; Copy < Copies; ++Copy)
-      later(way(), Relay,
+      later(delay(), Relay,
             [=, this, Asked = m_Now] { atRelay(Relay, Box, Asked); });
   }
-  void sendPart(std::size_t Box) {
+  void sendInSlot(std::size_t Box) {
     const Duration Slot = evenGap() / m_Boxes;
     const Duration Since = m_Now - TimePoint{} + m_Phase[Box];
     const Duration Turn = evenGap() - (Since - Box * Slot) % evenGap();
@@ -292,19 +294,19 @@
     later(Turn, Box, [this] { send(); });
   }
   void atRelay(std::size_t Relay, std::size_t Box, TimePoint Asked) {
-    if (m_Way == Way::Buckets) {
+    if (m_Strategy == Strategy::Buckets) {
       const QuotaRequest One{.m_Units = 1, .m_Patience = Patience};
       const QuotaVerdict Verdict = m_Buckets[Relay].trySpend("e", One, m_Now);
       return answer(Box, Asked,
                     {.m_Granted = Verdict.granted(), .m_After = 0us});
     }
     std::set<BoxName> Reached = m_Reached[Relay];
-    if (Relay < Near)
+    if (Relay < LocalRelays)
       Reached.insert(name(Relay));
     const auto Admitter = admitterOf("e", m_Lists[Relay], Reached, quorum());
-    for (std::size_t Other = 0; Other < Near; ++Other)
+    for (std::size_t Other = 0; Other < LocalRelays; ++Other)
       if (Admitter == name(Other) && linked(Relay, Other))
-        later(Other == Relay ? 0us : way(), Other,
+        later(Other == Relay ? 0us : delay(), Other,
               [=, this] { atAdmitter(Other, Box, Asked); });
   }
   void atAdmitter(std::size_t Relay, std::size_t Box, TimePoint Asked) {
@@ -313,8 +315,8 @@
   void answer(std::size_t Box, TimePoint Asked, const PermitVerdict &Verdict) {
     if (!Verdict.m_Granted)
       return;
-    later(way() + way(), Box, [=, this] {
-      const TimePoint Lapses = Asked + SendPermits::Validity;
+    later(delay() + delay(), Box, [=, this] {
+      const TimePoint Lapses = Asked + PermitIssuer::Validity;
       if (m_Now > Lapses)
         return;
       later(Verdict.m_After, Box, [=, this] {
@@ -323,25 +325,25 @@
       });
     });
   }
-  /// Links let requests through in bunches.
+  /// Requests arrive in bunches, as links deliver them.
   void send() {
     constexpr Duration Bunch = 100ms;
     const auto Ticks = (m_Now - TimePoint{}) / Bunch + 1;
     m_Arrivals.push_back(TimePoint(Ticks * Bunch) + m_Dice.upTo(20ms));
   }
 
-  void tellUse() {
+  void reportUse() {
     for (std::size_t From = 0; From < Relays; ++From) {
       m_Buckets[From].tick(m_Now);
-      const QuotaWords Words = m_Buckets[From].takeNews(true, m_Now);
+      const QuotaReports Reports = m_Buckets[From].takeReports(true, m_Now);
       for (std::size_t To = 0; To < Relays; ++To)
         if (To != From && linked(From, To))
-          later(way(), To, [=, this, Name = name(From)] {
-            m_Buckets[To].told(Name, 1, true, Words, m_Now);
+          later(delay(), To, [=, this, Name = name(From)] {
+            m_Buckets[To].receive(Name, 1, true, Reports, m_Now);
           });
     }
-    m_Events.emplace(m_Now + TellEvery,
-                     Event{callers(), [this] { tellUse(); }});
+    m_Events.emplace(m_Now + ReportInterval,
+                     Event{callers(), [this] { reportUse(); }});
   }
 
   /// The callers are the last box, which is never frozen.
@@ -352,21 +354,21 @@
     std::function<void()> m_What;
   };
 
-  Way m_Way;
+  Strategy m_Strategy;
   Dice m_Dice;
   double m_Load;
   FleetBound m_Bound;
   std::size_t m_Boxes;
-  std::vector<SendPermits> m_Permits;
-  std::vector<QuotaBook> m_Buckets;
+  std::vector<PermitIssuer> m_Permits;
+  std::vector<QuotaLedger> m_Buckets;
   std::vector<std::set<BoxName>> m_Lists;
   std::vector<std::set<BoxName>> m_Reached;
-  std::vector<int> m_Lives;
+  std::vector<int> m_Incarnations;
   std::vector<TimePoint> m_Frozen;
   std::vector<TimePoint> m_NextOfBox;
   std::vector<Duration> m_Phase;
-  std::set<BoxName> m_Store; ///< The list of relays near the server.
-  std::size_t m_Cut = 0;     ///< Relays below do not hear the others.
+  std::set<BoxName> m_Store; ///< The list of relays near the upstream.
+  std::size_t m_Cut = 0;     ///< Relays below it do not hear the others.
   bool m_StoreCut = false;   ///< They do not reach the store either.
   std::multimap<TimePoint, Event> m_Events;
   std::vector<TimePoint> m_Arrivals;
--- a/tests/decisions/process/CrashBookTest.cpp
+++ b/tests/decisions/process/CrashBookTest.cpp
@@ -58,7 +58,7 @@
     Test.m_Book.crashed({.m_Id = "i-1"}, {Bad}, Test.m_Now);
   REQUIRE(Test.m_Book.crashes(Bad, Test.m_Now) == 1);
   SECTION("and a later start of the server is another one") {
-    Test.m_Book.crashed({.m_Id = "i-1", .m_Born = 5}, {Bad}, Test.m_Now);
+    Test.m_Book.crashed({.m_Id = "i-1", .m_StartTime = 5}, {Bad}, Test.m_Now);
     REQUIRE(Test.m_Book.crashes(Bad, Test.m_Now) == 2);
   }
 }
@@ -68,7 +68,7 @@
   BookTest Test;
   Test.crash({Bad, Beside});
   Test.crash({Bad, Beside});
-  const UpstreamLife Last{.m_Id = "last"};
+  const UpstreamIncarnation Last{.m_Id = "last"};
   Test.m_Book.crashed(Last, {Beside}, Test.m_Now);
   REQUIRE(Test.judge().empty());
   const auto JudgedAt = Test.m_Book.judgedAt(Beside, Test.m_Now);
--- a/tests/decisions/process/EngineLedgerTest.cpp
+++ b/tests/decisions/process/EngineLedgerTest.cpp
@@ -85,7 +85,7 @@
 
   ResidencyReport report() const {
     ResidencyReport Result;
-    Result.m_Born = m_Born;
+    Result.m_StartTime = m_StartTime;
     Result.m_OrderCount = m_Count;
     Result.m_OrderUnderWay = m_UnderWay.has_value();
     Result.m_Models = m_Models;
@@ -99,7 +99,7 @@
 
   /// It ends, and starts again under its name; it holds nothing then.
   void startAgain() {
-    ++m_Born;
+    ++m_StartTime;
     m_Count = 0;
     m_Models.clear();
     m_Coming.clear();
@@ -132,7 +132,7 @@
   }
 
   double m_Mb = EngineMb;
-  UpstreamBirth m_Born = 1;
+  StartTime m_StartTime = 1;
   std::uint64_t m_Count = 0;
   std::vector<ResidentModel> m_Models{{.m_Name = model(0), .m_Adapters = {}}};
   std::vector<ResidencyOrder> m_Coming;
@@ -324,7 +324,7 @@
   Engine Real;
   EngineLedger Ledger;
   const auto Untold = [](ResidencyReport Report) {
-    Report.m_Born = 0;
+    Report.m_StartTime = 0;
     return Report;
   };
   Ledger.heard(Untold(Real.report()), at(0s), at(0s));
--- a/tests/decisions/process/MemoryLedgerTest.cpp
+++ b/tests/decisions/process/MemoryLedgerTest.cpp
@@ -24,7 +24,7 @@
   SECTION("an artifact is reserved once") {
     REQUIRE_FALSE(Ledger.tryReserve(artifact(1), 10));
   }
-  SECTION("an unload frees memory only when it is seen") {
+  SECTION("an unload frees memory only when it is confirmed") {
     Ledger.confirmResident(artifact(1), 50);
     REQUIRE(Ledger.beginUnload(artifact(1)));
     REQUIRE(Ledger.available() == 30);
@@ -38,12 +38,12 @@
   }
 }
 
-TEST_CASE("No act of a ledger exceeds the capacity", "[memory][property]") {
+TEST_CASE("Reservations never exceed the capacity", "[memory][property]") {
   rc::prop("reservations and releases in any order", [] {
     MemoryLedger Ledger(100, 10);
-    const auto Acts = *rc::gen::container<std::vector<std::pair<int, int>>>(
+    const auto Calls = *rc::gen::container<std::vector<std::pair<int, int>>>(
         rc::gen::pair(drawn(0, 5), drawn(0, 60)));
-    for (const auto &[Which, Size] : Acts) {
+    for (const auto &[Which, Size] : Calls) {
       if (Size % 3 == 0)
         Ledger.release(artifact(Which));
       else if (Size % 7 == 0)
--- a/tests/decisions/process/PlacementTest.cpp
+++ b/tests/decisions/process/PlacementTest.cpp
@@ -9,10 +9,10 @@
 
 constexpr MemoryMiB EngineMemory = 100;
 
-/// Engines that carry every move out, as their owners would allow.
-class World {
+/// Simulated engines that carry out every move for which they have memory.
+class Cluster {
 public:
-  explicit World(int Engines) {
+  explicit Cluster(int Engines) {
     for (int Number = 0; Number < Engines; ++Number)
       m_Input.m_Engines.push_back({.m_Upstream = upstreamName(Number),
                                    .m_Ready = true,
@@ -29,7 +29,7 @@
     m_Input.m_Callable.insert(Name);
   }
 
-  /// Plans, and lets the engines finish. \returns the moves made.
+  /// Plans, and carries the moves out. \returns the moves that were possible.
   std::vector<Move> round() {
     m_Now += 1s;
     std::vector<Move> Made;
@@ -90,66 +90,66 @@
 
 TEST_CASE("Every callable model gets a copy, and an adapter its base",
           "[placement]") {
-  World Made(2);
-  Made.addModel(0, 60);
-  Made.addModel(1, 50);
-  Made.addModel(2, 10, 1);
+  Cluster Fleet(2);
+  Fleet.addModel(0, 60);
+  Fleet.addModel(1, 50);
+  Fleet.addModel(2, 10, 1);
   for (int Count = 0; Count < 3; ++Count)
-    Made.round();
-  REQUIRE(Made.uncovered() == 0);
-  for (const EngineView &Engine : Made.m_Input.m_Engines)
+    Fleet.round();
+  REQUIRE(Fleet.uncovered() == 0);
+  for (const EngineView &Engine : Fleet.m_Input.m_Engines)
     if (Engine.m_Serving.count(modelName(2)) != 0)
       REQUIRE(Engine.m_Serving.count(modelName(1)) != 0);
 }
 
 TEST_CASE("A model finds room together with its adapters", "[placement]") {
-  World Made(2);
-  // By models alone the 45 could go beside the first 50, and the adapter
-  // would find no room on the only engine with its base.
-  Made.addModel(0, 50);
-  Made.addModel(1, 45, 0);
-  Made.addModel(2, 50);
-  Made.addModel(3, 45);
+  Cluster Fleet(2);
+  // By size alone the model of 45 could go beside the first of 50, which would
+  // leave no room for the adapter on the only engine with its base.
+  Fleet.addModel(0, 50);
+  Fleet.addModel(1, 45, 0);
+  Fleet.addModel(2, 50);
+  Fleet.addModel(3, 45);
   for (int Count = 0; Count < 4; ++Count)
-    Made.round();
-  REQUIRE(Made.uncovered() == 0);
+    Fleet.round();
+  REQUIRE(Fleet.uncovered() == 0);
 }
 
 TEST_CASE("A base that only its adapter needs is loaded for that reason",
           "[placement]") {
-  World Made(1);
-  Made.addModel(0, 50);
-  Made.addModel(1, 10, 0);
-  Made.m_Input.m_Callable.erase(modelName(0));
-  const std::vector<Move> Moves = Made.round();
+  Cluster Fleet(1);
+  Fleet.addModel(0, 50);
+  Fleet.addModel(1, 10, 0);
+  Fleet.m_Input.m_Callable.erase(modelName(0));
+  const std::vector<Move> Moves = Fleet.round();
   REQUIRE(Moves.size() == 2);
   REQUIRE(Moves.at(0).m_Reason == MoveReason::AdapterBase);
   REQUIRE(Moves.at(1).m_Reason == MoveReason::Coverage);
 }
 
-TEST_CASE("A placement that serves all makes no moves", "[placement]") {
-  World Made(3);
-  Made.addModel(0, 60);
-  Made.addModel(1, 60);
-  Made.round();
+TEST_CASE("No moves are planned once every model is served", "[placement]") {
+  Cluster Fleet(3);
+  Fleet.addModel(0, 60);
+  Fleet.addModel(1, 60);
+  Fleet.round();
   for (int Count = 0; Count < 20; ++Count)
-    REQUIRE(Made.round().empty());
+    REQUIRE(Fleet.round().empty());
 }
 
 TEST_CASE("A busy model gets a further copy, with its reason", "[placement]") {
-  World Made(2);
-  Made.addModel(0, 40);
-  Made.round();
-  Made.m_Input.m_Demand[modelName(0)] = 8;
-  for (EngineView &Engine : Made.m_Input.m_Engines)
+  Cluster Fleet(2);
+  Fleet.addModel(0, 40);
+  Fleet.round();
+  Fleet.m_Input.m_Demand[modelName(0)] = 8;
+  for (EngineView &Engine : Fleet.m_Input.m_Engines)
     Engine.m_Pressure = Engine.m_Serving.empty() ? 0 : 2;
   std::vector<Move> Moves;
   for (int Count = 0; Count < 3 && Moves.empty(); ++Count)
-    Moves = Made.round();
+    Moves = Fleet.round();
   REQUIRE(Moves.size() == 1);
   REQUIRE(Moves.at(0).m_Reason == MoveReason::Demand);
   REQUIRE_FALSE(Moves.at(0).m_Explanation.empty());
-  REQUIRE(Made.copiesOf(modelName(0)) == 2);
+  REQUIRE(Fleet.copiesOf(modelName(0)) == 2);
 }
 
 TEST_CASE("The last copy of a callable model is never unloaded",
@@ -157,35 +157,35 @@
   const std::string Point = "2 reach, copies under bursts and lost engines";
   rc::prop(Point, [&] {
     const int Engines = *drawn(2, 5);
-    World Made(Engines);
-    // At most two models of half an engine for each engine but one, so that
-    // one engine may be lost.
+    Cluster Fleet(Engines);
+    // At most two models, of about half an engine each, for every engine but
+    // one, so that one engine may be lost.
     const int Models = *drawn(1, 2 * (Engines - 1) + 1);
     for (int Number = 0; Number < Models; ++Number)
-      Made.addModel(Number, *drawn(10, 51));
+      Fleet.addModel(Number, *drawn(10, 51));
     for (int Count = 0; Count < 4; ++Count)
-      Made.round();
-    std::uint64_t Violations = Made.uncovered();
+      Fleet.round();
+    std::uint64_t Violations = Fleet.uncovered();
     std::uint64_t Faults = 0;
     const auto Steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
         30, rc::gen::pair(drawn(0, 8), drawn(0, 100)));
     bool Lost = false;
     for (const auto &[Which, Size] : Steps) {
-      Made.m_Input.m_Demand[modelName(Which)] = Size;
-      for (EngineView &Engine : Made.m_Input.m_Engines)
+      Fleet.m_Input.m_Demand[modelName(Which)] = Size;
+      for (EngineView &Engine : Fleet.m_Input.m_Engines)
         Engine.m_Pressure =
             Engine.m_Serving.count(modelName(Which)) != 0 ? Size / 20.0 : 0.1;
       if (Which == 7 && !Lost) {
         Lost = true;
         ++Faults;
-        Made.killEngine(0);
+        Fleet.killEngine(0);
         for (int Count = 0; Count < 4; ++Count)
-          Made.round();
-        Violations += Made.uncovered();
+          Fleet.round();
+        Violations += Fleet.uncovered();
         continue;
       }
-      Made.round();
-      Violations += Made.uncovered();
+      Fleet.round();
+      Violations += Fleet.uncovered();
     }
     ProofTable::instance().add(Point, Faults, Violations);
     RC_ASSERT(Violations == 0U);
--- a/tests/decisions/process/PrefixIndexTest.cpp
+++ b/tests/decisions/process/PrefixIndexTest.cpp
@@ -15,30 +15,31 @@
 
 } // namespace
 
-TEST_CASE("A part counts only with every part before it", "[prefix]") {
+TEST_CASE("A cached part counts only together with every part before it",
+          "[prefix]") {
   PrefixIndex Index(1e6);
-  Index.noteRead("e", prompt({{"a", 100}, {"b", 50}}));
+  Index.recordRead("e", prompt({{"a", 100}, {"b", 50}}));
   REQUIRE(Index.cachedTokens("e", prompt({{"a", 100}, {"b", 50}})) == 150);
   REQUIRE(Index.cachedTokens("e", prompt({{"a", 100}, {"c", 9}})) == 100);
   REQUIRE(Index.cachedTokens("e", prompt({{"x", 1}, {"a", 100}})) == 0);
   REQUIRE(Index.cachedTokens("f", prompt({{"a", 100}})) == 0);
 }
 
-TEST_CASE("Models and adapters share nothing", "[prefix]") {
+TEST_CASE("Models and adapters share no cached parts", "[prefix]") {
   PrefixIndex Index(1e6);
-  Index.noteRead("e", prompt({{"a", 100}}));
+  Index.recordRead("e", prompt({{"a", 100}}));
   REQUIRE(Index.cachedTokens("e", prompt({{"a", 100}}, "other")) == 0);
   RequestDescriptor WithAdapter = prompt({{"a", 100}});
   WithAdapter.m_Adapter = "a1";
   REQUIRE(Index.cachedTokens("e", WithAdapter) == 0);
 }
 
-TEST_CASE("Parts that were unused the longest give way", "[prefix]") {
+TEST_CASE("The least recently used parts are dropped first", "[prefix]") {
   PrefixIndex Index(250);
-  Index.noteRead("e", prompt({{"a", 100}}));
-  Index.noteRead("e", prompt({{"b", 100}}));
-  Index.noteRead("e", prompt({{"a", 100}}));
-  Index.noteRead("e", prompt({{"c", 100}}));
+  Index.recordRead("e", prompt({{"a", 100}}));
+  Index.recordRead("e", prompt({{"b", 100}}));
+  Index.recordRead("e", prompt({{"a", 100}}));
+  Index.recordRead("e", prompt({{"c", 100}}));
   REQUIRE(Index.cachedTokens("e", prompt({{"a", 100}})) == 100);
   REQUIRE(Index.cachedTokens("e", prompt({{"b", 100}})) == 0);
   Index.forget("e");
