--- a/tests/decisions/process/QuotaBookTest.cpp
+++ b/tests/decisions/process/QuotaLedgerTest.cpp
@@ -1,4 +1,4 @@
-#include "decisions/process/QuotaBook.h"
+#include "decisions/process/QuotaLedger.h"
 #include "support/Draw.h"
 #include "support/Names.h"
 
@@ -24,38 +24,43 @@
                       .m_UncountedTokens = 200}};
 }
 
-/// A book that counts for all boxes alone and has settled with full buckets.
-QuotaBook settledBook(double Rate, double Burst, TimePoint Now) {
-  QuotaBook Book({.m_Tolerance = Tolerance});
-  Book.setBoxes(1, 1, Now - 100s);
-  Book.configure({limited("o", Rate, Burst)}, Now - 100s);
-  Book.tick(Now);
-  return Book;
+/// A settled ledger with full buckets that counts for all boxes.
+QuotaLedger settledLedger(double Rate, double Burst, TimePoint Now) {
+  QuotaLedger Ledger({.m_Tolerance = Tolerance});
+  Ledger.setBoxes(1, 1, Now - 100s);
+  Ledger.configure({limited("o", Rate, Burst)}, Now - 100s);
+  Ledger.tick(Now);
+  return Ledger;
 }
 
-/// How boxes keep the limit together; the first stands for what is built.
-enum class Way { Relays, Alone, EachFull };
+/// How boxes share the limit.
+enum class Strategy {
+  Relays,  ///< As the product does it: relays send each other reports.
+  Alone,   ///< Each box uses its own share, without reports.
+  EachFull ///< Each box uses the whole limit.
+};
 
-/// Relays with books, links between them that delay, lose and cut, and one
-/// organisation that asks for a multiple of its rate.
+/// Relays with ledgers, links between them with delays and partitions, and one
+/// organisation that requests a multiple of its rate.
 class QuotaFleet {
 public:
   struct Options {
     std::size_t m_Relays = 6;
     std::size_t m_BoxesEach = 5;
     double m_Rate = 29000;
-    Way m_Way = Way::Relays;
+    Strategy m_Strategy = Strategy::Relays;
     Duration m_Patience = 250ms;
   };
 
   explicit QuotaFleet(Options Opts)
-      : m_Opts(Opts), m_Cut(Opts.m_Relays, 0), m_Lives(Opts.m_Relays, 0) {
+      : m_Opts(Opts), m_Sides(Opts.m_Relays, 0),
+        m_Incarnations(Opts.m_Relays, 0) {
     for (std::size_t Number = 0; Number < Opts.m_Relays; ++Number)
-      m_Books.push_back(newBook());
+      m_Ledgers.push_back(newLedger());
   }
 
-  /// Plays \p Length; \p Arrive is asked in each step for the units of a
-  /// request at a relay, 0 for none.
+  /// Simulates \p Length. \p Arrive returns the units of a request that arrives
+  /// at a relay in one step, 0 for none.
   void play(Duration Length, const std::function<double(std::size_t)> &Arrive) {
     const TimePoint End = m_Now + Length;
     for (; m_Now < End; m_Now += Step) {
@@ -68,21 +73,21 @@
         else
           m_Waiting.push_back(First);
       }
-      for (std::size_t At = 0; At < m_Books.size(); ++At)
+      for (std::size_t At = 0; At < m_Ledgers.size(); ++At)
         request(At, Arrive(At));
-      if ((m_Now - TimePoint{}) % TellEvery == 0us)
-        tellAll((m_Now - TimePoint{}) % (3 * TellEvery) == 0us);
+      if ((m_Now - TimePoint{}) % ReportInterval == 0us)
+        reportAll((m_Now - TimePoint{}) % (3 * ReportInterval) == 0us);
     }
   }
 
-  /// Relays with the same number hear each other.
-  void setSide(std::size_t Relay, int Side) { m_Cut.at(Relay) = Side; }
+  /// Only relays on the same side of a partition hear each other.
+  void setSide(std::size_t Relay, int Side) { m_Sides.at(Relay) = Side; }
   void restart(std::size_t Relay) {
-    ++m_Lives.at(Relay);
-    m_Books.at(Relay) = newBook();
+    ++m_Incarnations.at(Relay);
+    m_Ledgers.at(Relay) = newLedger();
   }
 
-  /// The most that was used in a window, as a part of what is allowed.
+  /// The most that was used in a window, as a fraction of what is allowed.
   double worstWindow() const {
     const double Allowed =
         (m_Opts.m_Rate * inSeconds(Tolerance.m_Window) + m_Opts.m_Rate) *
@@ -108,8 +113,8 @@
   int refused() const { return m_Refused; }
 
   static constexpr Duration Step = 10ms;
-  static constexpr Duration TellEvery = 40ms;
-  /// A step's delay and two more: a slow box between two data centres.
+  static constexpr Duration ReportInterval = 40ms;
+  /// Three steps: a slow box between two data centres.
   static constexpr Duration Delay = 30ms;
 
 private:
@@ -117,25 +122,26 @@
     TimePoint m_At;
     std::size_t m_From;
     std::size_t m_To;
-    int m_Life;
+    int m_Incarnation;
     bool m_Settled;
-    QuotaWords m_Words;
+    QuotaReports m_Reports;
   };
 
-  /// A request that waits for the words of other relays.
+  /// A request that waits for its units or for the reports of other relays.
   struct Waiting {
     TimePoint m_At;
     std::size_t m_Relay;
     QuotaRequest m_Request;
   };
 
-  QuotaBook newBook() const {
+  QuotaLedger newLedger() const {
     const std::size_t All = m_Opts.m_Relays * m_Opts.m_BoxesEach;
-    QuotaBook Book({.m_Tolerance = Tolerance});
-    Book.setBoxes(m_Opts.m_Way == Way::EachFull ? All : m_Opts.m_BoxesEach, All,
-                  m_Now);
-    Book.configure({limited("o", m_Opts.m_Rate, m_Opts.m_Rate)}, m_Now);
-    return Book;
+    QuotaLedger Ledger({.m_Tolerance = Tolerance});
+    Ledger.setBoxes(
+        m_Opts.m_Strategy == Strategy::EachFull ? All : m_Opts.m_BoxesEach, All,
+        m_Now);
+    Ledger.configure({limited("o", m_Opts.m_Rate, m_Opts.m_Rate)}, m_Now);
+    return Ledger;
   }
 
   void request(std::size_t At, double Units) {
@@ -148,7 +154,7 @@
 
   void decide(Waiting Request) {
     const QuotaVerdict Verdict =
-        m_Books[Request.m_Relay].trySpend("o", Request.m_Request, m_Now);
+        m_Ledgers[Request.m_Relay].trySpend("o", Request.m_Request, m_Now);
     if (Verdict.granted()) {
       m_Used.push_back({m_Now, Request.m_Request.m_Units});
     } else if (Verdict.m_Step == QuotaStep::Wait) {
@@ -161,17 +167,17 @@
     }
   }
 
-  void tellAll(bool All) {
-    for (std::size_t From = 0; From < m_Books.size(); ++From) {
-      QuotaBook &Book = m_Books[From];
-      Book.tick(m_Now);
-      const QuotaWords Words = Book.takeNews(All, m_Now);
-      if (m_Opts.m_Way != Way::Relays || (!All && Words.empty()))
+  void reportAll(bool All) {
+    for (std::size_t From = 0; From < m_Ledgers.size(); ++From) {
+      QuotaLedger &Ledger = m_Ledgers[From];
+      Ledger.tick(m_Now);
+      const QuotaReports Reports = Ledger.takeReports(All, m_Now);
+      if (m_Opts.m_Strategy != Strategy::Relays || (!All && Reports.empty()))
         continue;
-      for (std::size_t To = 0; To < m_Books.size(); ++To)
-        if (To != From && m_Cut[To] == m_Cut[From])
-          m_Messages.push_back({m_Now + Delay, From, To, m_Lives[From],
-                                Book.settled(m_Now), Words});
+      for (std::size_t To = 0; To < m_Ledgers.size(); ++To)
+        if (To != From && m_Sides[To] == m_Sides[From])
+          m_Messages.push_back({m_Now + Delay, From, To, m_Incarnations[From],
+                                Ledger.settled(m_Now), Reports});
     }
   }
 
@@ -180,16 +186,16 @@
       const Message Each = std::move(m_Messages.front());
       m_Messages.pop_front();
       const BoxName From("relay-" + std::to_string(Each.m_From) + "." +
-                         std::to_string(Each.m_Life));
-      m_Books[Each.m_To].told(From, m_Opts.m_BoxesEach, Each.m_Settled,
-                              Each.m_Words, m_Now);
+                         std::to_string(Each.m_Incarnation));
+      m_Ledgers[Each.m_To].receive(From, m_Opts.m_BoxesEach, Each.m_Settled,
+                                   Each.m_Reports, m_Now);
     }
   }
 
   Options m_Opts;
-  std::vector<int> m_Cut;
-  std::vector<int> m_Lives;
-  std::vector<QuotaBook> m_Books;
+  std::vector<int> m_Sides;
+  std::vector<int> m_Incarnations;
+  std::vector<QuotaLedger> m_Ledgers;
   std::deque<Message> m_Messages;
   std::deque<Waiting> m_Waiting;
   std::vector<std::pair<TimePoint, double>> m_Used;
@@ -197,7 +203,7 @@
   TimePoint m_Now{1000s};
 };
 
-/// Requests of drawn sizes, as many as use \p Load times the rate.
+/// Requests of random sizes that together use \p Load times the rate.
 class DrawnLoad {
 public:
   DrawnLoad(std::uint64_t Seed, double Load, QuotaFleet::Options Fleet)
@@ -211,7 +217,7 @@
     constexpr std::array<double, 4> Sizes{200, 800, 9190, 17000};
     double Units = 0;
     double Chance = m_Chance;
-    // More than one request in a step comes as one.
+    // At most one request is made of those that arrive in one step.
     for (; Chance > 0; Chance -= 1)
       if (unit() < Chance)
         Units = Sizes[next() % Sizes.size()];
@@ -220,7 +226,7 @@
 
 private:
   std::uint64_t next() {
-    // xorshift64: the same load for the same seed on every machine.
+    // xorshift64 yields the same load for the same seed on every machine.
     m_State ^= m_State << 13;
     m_State ^= m_State >> 7;
     m_State ^= m_State << 17;
@@ -232,7 +238,7 @@
   double m_Chance;
 };
 
-/// The limit as one counter in one place would keep it.
+/// The limit as one central counter would keep it.
 class IdealBucket {
 public:
   IdealBucket(double Rate, double Burst)
@@ -254,15 +260,15 @@
   double m_Level;
 };
 
-/// What became of requests that all lie within the limit.
+/// The outcome of requests that are all within the limit.
 struct WithinLimit {
   int m_Asked = 0;
   int m_Refused = 0;
   double m_Used = 0;
 };
 
-/// Plays a minute of requests that use \p Load times the rate, but for those
-/// that one counter would refuse.
+/// Simulates a minute of requests that use \p Load times the rate, except for
+/// those that a central counter would refuse.
 WithinLimit playWithinLimit(const QuotaFleet::Options &Opts, double Load,
                             std::uint64_t Seed) {
   QuotaFleet Fleet(Opts);
@@ -285,130 +291,133 @@
 
 } // namespace
 
-TEST_CASE("A bucket gives its burst and its rate, and tells when there is more",
+TEST_CASE("A bucket grants its burst and its rate, and tells when to retry",
           "[quota]") {
   const TimePoint Start(1000s);
-  QuotaBook Book = settledBook(10000, 10000, Start);
-  double Given = 0;
-  while (Book.trySpend("o", {.m_Units = 1000}, Start).granted())
-    Given += 1000;
+  QuotaLedger Ledger = settledLedger(10000, 10000, Start);
+  double Granted = 0;
+  while (Ledger.trySpend("o", {.m_Units = 1000}, Start).granted())
+    Granted += 1000;
   const double Slack = Tolerance.slack({.m_RatePerS = 10000, .m_Burst = 10000});
-  REQUIRE(Given >= 10000);
-  REQUIRE(Given <= 10000 + 0.5 * Slack + 1000);
+  REQUIRE(Granted >= 10000);
+  REQUIRE(Granted <= 10000 + 0.5 * Slack + 1000);
 
-  const QuotaVerdict First = Book.trySpend("o", {.m_Units = 1000}, Start);
-  const QuotaVerdict Second = Book.trySpend("o", {.m_Units = 1000}, Start);
+  const QuotaVerdict First = Ledger.trySpend("o", {.m_Units = 1000}, Start);
+  const QuotaVerdict Second = Ledger.trySpend("o", {.m_Units = 1000}, Start);
   REQUIRE_FALSE(First.granted());
   REQUIRE(Second.m_After - First.m_After >= 99ms);
-  REQUIRE(Book.trySpend("o", {.m_Units = 1000}, Start + First.m_After + 1ms)
+  REQUIRE(Ledger.trySpend("o", {.m_Units = 1000}, Start + First.m_After + 1ms)
               .granted());
 }
 
 TEST_CASE("A large request gets through as often as a small one", "[quota]") {
   const TimePoint Start(1000s);
-  QuotaBook Book = settledBook(29000, 29000, Start);
+  QuotaLedger Ledger = settledLedger(29000, 29000, Start);
   std::array<int, 2> Granted{};
   for (int Step = 0; Step < 4000; ++Step) {
     const TimePoint Now = Start + Step * 10ms;
-    // Each alone would use the rate three times.
+    // Each size alone would use three times the rate.
     if (Step % 10 == 0)
       Granted[0] +=
-          Book.trySpend("o", {.m_Units = 9190}, Now).granted() ? 1 : 0;
+          Ledger.trySpend("o", {.m_Units = 9190}, Now).granted() ? 1 : 0;
     if (Step % 10 == 5)
       Granted[1] +=
-          Book.trySpend("o", {.m_Units = 9190.0 / 4}, Now).granted() ? 1 : 0;
+          Ledger.trySpend("o", {.m_Units = 9190.0 / 4}, Now).granted() ? 1 : 0;
   }
   REQUIRE(Granted[0] > 0);
   REQUIRE(Granted[0] * 2 > Granted[1]);
 }
 
-TEST_CASE("What others tell is taken off once, and given back units return",
-          "[quota]") {
+TEST_CASE(
+    "Use that a peer reports is subtracted once, and units given back return",
+    "[quota]") {
   const TimePoint Start(1000s);
-  QuotaBook Book = settledBook(10000, 10000, Start);
-  Book.setBoxes(1, 2, Start);
+  QuotaLedger Ledger = settledLedger(10000, 10000, Start);
+  Ledger.setBoxes(1, 2, Start);
   const BoxName Other = boxName(1);
-  Book.told(Other, 1, true, {}, Start);
-  REQUIRE(Book.share() == 1);
-  const double Full = Book.level("o", Start + 10s);
+  Ledger.receive(Other, 1, true, {}, Start);
+  REQUIRE(Ledger.share() == 1);
+  const double Full = Ledger.level("o", Start + 10s);
   const TimePoint Now = Start + 10s;
-  Book.told(Other, 1, true, {}, Now);
-  Book.told(Other, 1, true, {{"o", {.m_Used = 700, .m_Recent = 700}}}, Now);
-  REQUIRE(Book.level("o", Now) == Full - 700);
-  const double Before = Book.level("o", Now);
-  Book.told(Other, 1, true, {{"o", {.m_Used = 700, .m_Recent = 0}}}, Now);
-  REQUIRE(Book.level("o", Now) == Before);
-  Book.told(Other, 1, true, {{"o", {.m_Used = 500, .m_Recent = -200}}}, Now);
-  REQUIRE(Book.level("o", Now) == Before + 200);
-  REQUIRE(Book.trySpend("o", {.m_Units = 300}, Now).granted());
-  Book.giveBack("o", 300, Now);
-  REQUIRE(Book.level("o", Now) == Before + 200);
+  Ledger.receive(Other, 1, true, {}, Now);
+  Ledger.receive(Other, 1, true, {{"o", {.m_Used = 700, .m_Recent = 700}}},
+                 Now);
+  REQUIRE(Ledger.level("o", Now) == Full - 700);
+  const double Before = Ledger.level("o", Now);
+  Ledger.receive(Other, 1, true, {{"o", {.m_Used = 700, .m_Recent = 0}}}, Now);
+  REQUIRE(Ledger.level("o", Now) == Before);
+  Ledger.receive(Other, 1, true, {{"o", {.m_Used = 500, .m_Recent = -200}}},
+                 Now);
+  REQUIRE(Ledger.level("o", Now) == Before + 200);
+  REQUIRE(Ledger.trySpend("o", {.m_Units = 300}, Now).granted());
+  Ledger.giveBack("o", 300, Now);
+  REQUIRE(Ledger.level("o", Now) == Before + 200);
 }
 
-TEST_CASE("A box that falls silent takes its part along", "[quota]") {
+TEST_CASE("A peer that falls silent keeps its own share of the limit",
+          "[quota]") {
   const TimePoint Start(1000s);
-  QuotaBook Book = settledBook(10000, 10000, Start);
-  Book.setBoxes(1, 4, Start);
-  Book.told(boxName(1), 3, true, {}, Start);
-  REQUIRE(Book.share() == 1);
-  Book.tick(Start + 300ms);
-  REQUIRE(Book.share() == 1);
-  Book.tick(Start + 500ms);
-  REQUIRE(Book.share() == 0.25);
-  const double Before = Book.level("o", Start + 10s);
-  // In 9.3 s its own part earned it 69,750 units.
-  Book.told(boxName(1), 3, true, {{"o", {.m_Used = 70000, .m_Recent = 70000}}},
-            Start + 10s);
-  REQUIRE(Book.share() == 1);
-  REQUIRE(Book.level("o", Start + 10s) == Before);
+  QuotaLedger Ledger = settledLedger(10000, 10000, Start);
+  Ledger.setBoxes(1, 4, Start);
+  Ledger.receive(boxName(1), 3, true, {}, Start);
+  REQUIRE(Ledger.share() == 1);
+  Ledger.tick(Start + 300ms);
+  REQUIRE(Ledger.share() == 1);
+  Ledger.tick(Start + 500ms);
+  REQUIRE(Ledger.share() == 0.25);
+  const double Before = Ledger.level("o", Start + 10s);
+  // In 10 s its own share earned it 75,000 units.
+  Ledger.receive(boxName(1), 3, true,
+                 {{"o", {.m_Used = 70000, .m_Recent = 70000}}}, Start + 10s);
+  REQUIRE(Ledger.share() == 1);
+  REQUIRE(Ledger.level("o", Start + 10s) == Before);
 }
 
-TEST_CASE("A book that starts takes the level of one that has settled",
-          "[quota]") {
+TEST_CASE("A ledger that starts adopts the level of a settled one", "[quota]") {
   const TimePoint Start(1000s);
-  QuotaBook Book({.m_Tolerance = Tolerance});
-  Book.setBoxes(1, 2, Start);
-  Book.configure({limited("o", 10000, 10000)}, Start);
+  QuotaLedger Ledger({.m_Tolerance = Tolerance});
+  Ledger.setBoxes(1, 2, Start);
+  Ledger.configure({limited("o", 10000, 10000)}, Start);
   const double Slack = Tolerance.slack({.m_RatePerS = 10000, .m_Burst = 10000});
-  REQUIRE(Book.level("o", Start) <= 0.2 * Slack / 2);
-  Book.told(boxName(1), 1, true,
-            {{"o", {.m_Used = 9e6, .m_Recent = 10, .m_Level = 17000}}}, Start);
-  REQUIRE(Book.level("o", Start) == 17000);
+  REQUIRE(Ledger.level("o", Start) <= 0.2 * Slack / 2);
+  Ledger.receive(boxName(1), 1, true,
+                 {{"o", {.m_Used = 9e6, .m_Recent = 10, .m_Level = 17000}}},
+                 Start);
+  REQUIRE(Ledger.level("o", Start) == 17000);
 }
 
-TEST_CASE("An account tells what was let pass of a quota and what was not",
+TEST_CASE("An account holds the units granted and refused of a quota",
           "[quota]") {
   const TimePoint Now = TimePoint{} + 1000s;
-  QuotaBook Book = settledBook(1000, 5000, Now);
-  CHECK(Book.takeAccounts(Now).empty());
-  CHECK(Book.trySpend("o", {.m_Units = 1000}, Now).granted());
-  SECTION("one far from its quota has none") {
-    CHECK(Book.takeAccounts(Now).empty());
+  QuotaLedger Ledger = settledLedger(1000, 5000, Now);
+  CHECK(Ledger.takeAccounts(Now).empty());
+  CHECK(Ledger.trySpend("o", {.m_Units = 1000}, Now).granted());
+  SECTION("there is none for an organisation far from its quota") {
+    CHECK(Ledger.takeAccounts(Now).empty());
   }
-  SECTION("one whose bucket is nearly empty has one, once") {
+  SECTION("there is one when the bucket is nearly empty, and only once") {
     double Granted = 1000;
-    while (Book.trySpend("o", {.m_Units = 1000}, Now).granted())
+    while (Ledger.trySpend("o", {.m_Units = 1000}, Now).granted())
       Granted += 1000;
-    const QuotaAccounts Accounts = Book.takeAccounts(Now);
+    const QuotaAccounts Accounts = Ledger.takeAccounts(Now);
     REQUIRE(Accounts.size() == 1);
-    const QuotaAccount &Of = Accounts.at("o");
-    CHECK(Of.m_Granted == Granted);
-    CHECK(Of.m_Refused == 1000);
-    CHECK(Of.m_RatePerS == 1000);
-    CHECK(Book.takeAccounts(Now).empty());
+    const QuotaAccount &Account = Accounts.at("o");
+    CHECK(Account.m_Granted == Granted);
+    CHECK(Account.m_Refused == 1000);
+    CHECK(Account.m_RatePerS == 1000);
+    CHECK(Ledger.takeAccounts(Now).empty());
   }
 }
 
-TEST_CASE("An organisation that no book knows is not limited", "[quota]") {
-  QuotaBook Book({.m_Tolerance = Tolerance});
-  REQUIRE(Book.empty());
-  REQUIRE(Book.trySpend("o", {.m_Units = 1e9}, TimePoint(1s)).granted());
+TEST_CASE("An organisation without a quota is not limited", "[quota]") {
+  QuotaLedger Ledger({.m_Tolerance = Tolerance});
+  REQUIRE(Ledger.empty());
+  REQUIRE(Ledger.trySpend("o", {.m_Units = 1e9}, TimePoint(1s)).granted());
 }
 
-TEST_CASE(
-    "No window sees more than the quota allows, whatever is cut or killed",
-    "[quota][property][proof]") {
-  rc::prop("rushes, cuts, kills", [] {
+TEST_CASE("No window exceeds the quota during partitions and restarts",
+          "[quota][property][proof]") {
+  rc::prop("overload, partitions, restarts", [] {
     const QuotaFleet::Options Opts{.m_Relays = 6,
                                    .m_BoxesEach = 5,
                                    .m_Rate = 1.0 * *drawn(29000, 1000000)};
@@ -416,7 +425,7 @@
     for (int Phase = *drawn(3, 9); Phase > 0; --Phase) {
       const int Kind = *drawn(0, 4);
       const auto Which = static_cast<std::size_t>(*drawn(0, 6));
-      // A data centre is cut off, all is well, one box or all are killed.
+      // Kind 1 cuts off a data centre, 2 restarts one box and 3 restarts all.
       for (std::size_t Relay = 0; Relay < Opts.m_Relays; ++Relay)
         Fleet.setSide(Relay, Kind == 1 && Relay < Opts.m_Relays / 3 ? 1 : 0);
       if (Kind == 2)
@@ -433,9 +442,8 @@
   });
 }
 
-TEST_CASE("The oracle objects to boxes that each use the whole quota",
-          "[quota]") {
-  const QuotaFleet::Options Opts{.m_Way = Way::EachFull};
+TEST_CASE("The oracle detects boxes that each use the whole quota", "[quota]") {
+  const QuotaFleet::Options Opts{.m_Strategy = Strategy::EachFull};
   QuotaFleet Fleet(Opts);
   DrawnLoad Load(1, 4, Opts);
   Fleet.play(12s, [&](std::size_t) { return Load(); });
@@ -452,15 +460,19 @@
   REQUIRE(Result.m_Refused * 1000 <= Result.m_Asked);
 }
 
-TEST_CASE("Even parts refuse organisations that are within their quota",
-          "[quota]") {
-  const WithinLimit Result = playWithinLimit(
-      {.m_Relays = 60, .m_BoxesEach = 1, .m_Rate = 29000, .m_Way = Way::Alone},
-      0.5, 1);
+TEST_CASE(
+    "Equal shares without reports refuse organisations within their quota",
+    "[quota]") {
+  const WithinLimit Result = playWithinLimit({.m_Relays = 60,
+                                              .m_BoxesEach = 1,
+                                              .m_Rate = 29000,
+                                              .m_Strategy = Strategy::Alone},
+                                             0.5, 1);
   REQUIRE(Result.m_Refused * 4 > Result.m_Asked);
 }
 
-TEST_CASE("An organisation that rushes gets its whole quota", "[quota]") {
+TEST_CASE("An organisation that requests too much gets its whole quota",
+          "[quota]") {
   const double Rate = GENERATE(29000.0, 180000.0, 1000000.0);
   const QuotaFleet::Options Opts{
       .m_Relays = 12, .m_BoxesEach = 5, .m_Rate = Rate};
--- a/tests/decisions/process/ReplicaPlannerTest.cpp
+++ b/tests/decisions/process/ReplicaPlannerTest.cpp
@@ -42,7 +42,7 @@
           model(*drawn(0, static_cast<int>(Spec.m_Models.size())));
       Each.m_Models.insert(Model);
       if (*drawn(0, 4) == 0)
-        Each.m_Coming[Model] = *drawn(0, 8000);
+        Each.m_Loading[Model] = *drawn(0, 8000);
     }
     for (int Copy = 0; Copy < *drawn(0, 4); ++Copy)
       Each.m_OnDisk.insert(
@@ -60,8 +60,9 @@
 
 } // namespace
 
-TEST_CASE("A plan keeps memory, wanted last replicas and the bound on loads",
-          "[planner][property]") {
+TEST_CASE(
+    "A plan respects memory, last replicas with demand and the store limit",
+    "[planner][property]") {
   rc::prop("safe plans", [] {
     const EngineSpec Spec = spec(*drawn(1, 9));
     const PlannerInput Input = drawnInput(Spec);
@@ -80,12 +81,12 @@
             std::count_if(After.begin(), After.end(), [&](const auto &Each) {
               return !Each.second.m_Leaving &&
                      Each.second.m_Models.contains(Move.m_Evict) &&
-                     !Each.second.m_Coming.contains(Move.m_Evict);
+                     !Each.second.m_Loading.contains(Move.m_Evict);
             });
-        // The last one makes way only if hardly anybody asks for it, and only
-        // for a model that is wanted more.
-        const auto Demand = [&](const std::string &Of) {
-          const auto Found = Input.m_Demand.find(Of);
+        // The last one is evicted only if it has hardly any demand, and only
+        // for a model with more.
+        const auto Demand = [&](const std::string &Model) {
+          const auto Found = Input.m_Demand.find(Model);
           return Found == Input.m_Demand.end() ? 0 : Found->second;
         };
         if (Serving < 2) {
@@ -94,14 +95,14 @@
           RC_ASSERT(Demand(Move.m_Load) > Demand(Move.m_Evict));
         }
         At.m_Models.erase(Move.m_Evict);
-        At.m_Coming.erase(Move.m_Evict);
+        At.m_Loading.erase(Move.m_Evict);
       }
       At.m_Movable = false;
       RC_ASSERT(!Move.m_Load.empty() || !Move.m_Evict.empty());
       if (Move.m_Load.empty())
         continue;
       At.m_Models.insert(Move.m_Load);
-      At.m_Coming[Move.m_Load] = Move.m_ServesInMs;
+      At.m_Loading[Move.m_Load] = Move.m_ServesInMs;
       RC_ASSERT(sizeOf(Spec, At.m_Models) <= Spec.m_WeightsMb);
       FromStore += Move.m_Source == LoadSource::Store ? 1 : 0;
     }
@@ -109,9 +110,9 @@
   });
 }
 
-TEST_CASE("Last replicas that nobody asks for make way for wanted models",
+TEST_CASE("Last replicas without demand are evicted for models with demand",
           "[planner]") {
-  // More models than places, each with one replica.
+  // More models than fit into memory, each with one replica.
   const EngineSpec Spec = spec(8);
   PlannerInput Input;
   Input.m_Engines = {engine(0, {model(0), model(1), model(2)}),
@@ -120,7 +121,7 @@
   SECTION("not before there is any demand") {
     REQUIRE(planReplicas(Input, Spec, {}, 4).empty());
   }
-  SECTION("callers wait for one that no engine holds") {
+  SECTION("when callers wait for one that no engine holds") {
     Input.m_Demand = {{model(0), 0.3}, {model(6), 0.02}};
     Input.m_Awaited = {model(6)};
     const auto Moves = planReplicas(Input, Spec, {}, 1);
@@ -129,14 +130,14 @@
     REQUIRE(Moves.front().m_Evict != model(0));
     REQUIRE_FALSE(Moves.front().m_Evict.empty());
   }
-  SECTION("a hot model lacks replicas") {
+  SECTION("when a hot model lacks replicas") {
     Input.m_Demand = {{model(0), 2.5}};
     const auto Moves = planReplicas(Input, Spec, {}, 1);
     REQUIRE(Moves.size() == 1);
     REQUIRE(Moves.front().m_Load == model(0));
     REQUIRE(Moves.front().m_Engine == "e1");
   }
-  SECTION("those that are usually asked for stay the longest") {
+  SECTION("those with usual demand last") {
     Input.m_Demand = {{model(0), 0.3}, {model(6), 0.02}};
     Input.m_Awaited = {model(6)};
     Input.m_Usual = {
@@ -154,13 +155,13 @@
     REQUIRE(Moves.size() == 1);
     REQUIRE(Moves.front().m_Evict != model(1));
   }
-  SECTION("not for a model that nobody has asked for") {
+  SECTION("not for a model without demand") {
     Input.m_Demand = {{model(0), 0.3}};
     Input.m_Engines[1].m_Models.insert(model(0));
     for (const PlannedMove &Move : planReplicas(Input, Spec, {}, 4))
       REQUIRE((Move.m_Load.empty() || Move.m_Evict.empty()));
   }
-  SECTION("not one that has just come") {
+  SECTION("not one that was just loaded") {
     Input.m_Demand = {{model(0), 0.3}, {model(6), 0.02}};
     Input.m_Awaited = {model(6)};
     for (PlannedEngine &Each : Input.m_Engines)
@@ -187,7 +188,7 @@
   REQUIRE(OfOne->m_Reason == PlanReason::NotResident);
 }
 
-TEST_CASE("A replica that still loads does not let the serving one go",
+TEST_CASE("A serving replica is not evicted while the only other still loads",
           "[planner]") {
   const EngineSpec Spec = spec(4);
   PlannerInput Input;
@@ -195,18 +196,19 @@
                      engine(1, {model(0), model(3)})};
   // Only the replica of the first model could go.
   Input.m_Engines[0].m_Fresh = {model(1), model(2)};
-  Input.m_Engines[1].m_Coming = {{model(0), 1000}};
+  Input.m_Engines[1].m_Loading = {{model(0), 1000}};
   Input.m_Engines[1].m_Movable = false;
   Input.m_Demand = {{model(3), 3.0}};
   Input.m_StoreLoads = 4;
   REQUIRE(planReplicas(Input, Spec, {}, 4).empty());
-  Input.m_Engines[1].m_Coming.clear();
+  Input.m_Engines[1].m_Loading.clear();
   const auto Moves = planReplicas(Input, Spec, {}, 4);
   REQUIRE(Moves.size() == 1);
   REQUIRE(Moves.front().m_Evict == model(0));
 }
 
-TEST_CASE("A wanted replica that has just come is not moved on", "[planner]") {
+TEST_CASE("A replica with demand that was just loaded is not evicted",
+          "[planner]") {
   const EngineSpec Spec = spec(3);
   PlannerInput Input;
   Input.m_Engines = {engine(0, {model(0), model(1)}), engine(1, {model(0)}),
@@ -228,7 +230,7 @@
   REQUIRE((After.empty() || After.front().m_Evict != Before.front().m_Evict));
 }
 
-TEST_CASE("Busy models get replicas, idle fleets stay as they are",
+TEST_CASE("Busy models get replicas, and idle fleets stay as they are",
           "[planner]") {
   const EngineSpec Spec = spec(2);
   PlannerInput Input;
@@ -243,16 +245,16 @@
     REQUIRE(Moves.front().m_Reason == PlanReason::DemandRose);
     REQUIRE(Moves.front().m_Gain > 0);
   }
-  SECTION("few moves ask for more") {
+  SECTION("a preference for few moves requires more gain") {
     Input.m_Demand = {{model(0), 0.75}};
     REQUIRE(planReplicas(Input, Spec, {}, 4).size() == 1);
     REQUIRE(planReplicas(Input, Spec, {.m_FewMoves = 1}, 4).empty());
   }
 }
 
-TEST_CASE("A replica beside much other work is no reason to take it away",
-          "[planner]") {
-  // Boxes send to the replica that has less to do; the full one does no harm.
+TEST_CASE("A replica on a busy engine is not evicted for that", "[planner]") {
+  // Boxes send to the replica with less load; the one on the full engine does
+  // no harm.
   const EngineSpec Spec = spec(4);
   PlannerInput Input;
   Input.m_Engines = {engine(0, {model(0), model(1), model(2)}),
@@ -263,9 +265,8 @@
     REQUIRE(Move.m_Evict != model(0));
 }
 
-TEST_CASE("The engine of a model that nobody asks for keeps the hot one",
-          "[planner]") {
-  // The cold model has a place elsewhere; the hot replica stays.
+TEST_CASE("A cold model does not displace a hot one", "[planner]") {
+  // The cold model fits elsewhere, so the hot replica stays.
   const EngineSpec Spec = spec(7);
   PlannerInput Input;
   Input.m_Engines = {engine(0, {model(0), model(1), model(2)}),
@@ -278,16 +279,15 @@
   REQUIRE(Moves.front().m_Evict != model(0));
 }
 
-TEST_CASE("Replicas that nobody asks for leave, so that a place is free",
-          "[planner]") {
+TEST_CASE("Replicas without demand are evicted to free memory", "[planner]") {
   const EngineSpec Spec = spec(4);
   PlannerInput Input;
   Input.m_Engines = {engine(0, {model(0), model(1), model(2)}),
                      engine(1, {model(0), model(3)})};
-  SECTION("nobody asks for anything yet") {
+  SECTION("not while there is no demand at all") {
     REQUIRE(planReplicas(Input, Spec, {}, 4).empty());
   }
-  SECTION("others are wanted") {
+  SECTION("when other models have demand") {
     Input.m_Demand = {{model(3), 0.1}};
     const auto Moves = planReplicas(Input, Spec, {}, 4);
     REQUIRE(Moves.size() == 1);
@@ -296,13 +296,14 @@
     REQUIRE(Moves.front().m_Load.empty());
     REQUIRE(Moves.front().m_Reason == PlanReason::NotWanted);
   }
-  SECTION("wanted") {
+  SECTION("not while they have demand") {
     Input.m_Demand = {{model(0), 1.2}};
     REQUIRE(planReplicas(Input, Spec, {}, 4).empty());
   }
 }
 
-TEST_CASE("A free place is found among many full engines", "[planner]") {
+TEST_CASE("An engine with free memory is found among many full ones",
+          "[planner]") {
   constexpr int Full = 30;
   const EngineSpec Spec = spec(3 * Full + 2);
   PlannerInput Input;
@@ -318,7 +319,7 @@
   REQUIRE(Moves.front().m_Engine == "e" + std::to_string(Full));
 }
 
-TEST_CASE("A slow store of weights makes moves later and less attractive",
+TEST_CASE("A slow weight store makes moves later and less attractive",
           "[planner]") {
   const EngineSpec Spec = [] {
     EngineSpec Result = spec(2);
@@ -342,7 +343,7 @@
   REQUIRE(planReplicas(Input, Spec, {}, 1).empty());
 }
 
-TEST_CASE("A busy victim is dearer than an idle one", "[planner]") {
+TEST_CASE("An idle replica is evicted rather than a busy one", "[planner]") {
   EngineSpec Spec = spec(6);
   Spec.m_Slots = 48;
   for (ModelSpec &Model : Spec.m_Models)
@@ -360,21 +361,21 @@
   REQUIRE(Moves.front().m_Evict != model(1));
 }
 
-TEST_CASE("A model whose first replica comes late gets a nearer one",
+TEST_CASE("A model whose first replica loads slowly gets a faster one",
           "[planner]") {
   EngineSpec Spec = spec(2);
   Spec.m_Models[1].m_StoreLoad = 6s;
   Spec.m_Models[1].m_DiskLoad = 1s;
   PlannerInput Input;
   Input.m_Engines = {engine(0, {model(0), model(1)}), engine(1, {model(0)})};
-  Input.m_Engines[0].m_Coming = {{model(1), 10000}};
+  Input.m_Engines[0].m_Loading = {{model(1), 10000}};
   Input.m_Engines[0].m_Movable = false;
   Input.m_Engines[1].m_OnDisk = {model(1)};
   Input.m_Demand = {{model(1), 0.3}};
   const auto Moves = planReplicas(Input, Spec, {}, 1);
   REQUIRE(Moves.size() == 1);
   REQUIRE(Moves.front().m_Load == model(1));
-  Input.m_Engines[0].m_Coming.clear();
+  Input.m_Engines[0].m_Loading.clear();
   REQUIRE(planReplicas(Input, Spec, {}, 1).empty());
 }
 
@@ -391,7 +392,7 @@
   Input.m_Demand[model(0)] = 0.3;
   Input.m_StoreLoads = 4;
   PlannerOptions Opts;
-  SECTION("though its replica has little to do") {
+  SECTION("though its replica has little load") {
     Opts.m_SpreadWorth = 0.1;
     const auto Moves = planReplicas(Input, Spec, Opts, 4);
     REQUIRE(Moves.size() == 1);
@@ -410,7 +411,7 @@
   }
 }
 
-TEST_CASE("A model that lost a data centre is loaded again, the hottest first",
+TEST_CASE("Models of a lost data centre are loaded again, the hottest first",
           "[planner][evacuation]") {
   const EngineSpec Spec = spec(2);
   PlannerInput Input;
--- a/tests/decisions/process/ServingViewTest.cpp
+++ b/tests/decisions/process/ServingViewTest.cpp
@@ -35,9 +35,9 @@
   return Result;
 }
 
-UpstreamInstance born(UpstreamInstance Of, UpstreamBirth At) {
-  Of.m_Born = At;
-  return Of;
+UpstreamInstance startedAt(UpstreamInstance Engine, StartTime At) {
+  Engine.m_StartTime = At;
+  return Engine;
 }
 
 Names idsOf(const std::vector<UpstreamInstance> &All) {
@@ -51,14 +51,14 @@
 
 } // namespace
 
-TEST_CASE("A leaving upstream gets nothing while another can run the request",
+TEST_CASE("A leaving upstream gets no request while another can run it",
           "[view]") {
   ServingView View;
   View.update(list(1, {engine("a", true), engine("b")}), at(1s));
   REQUIRE(names(View, at(1s)) == Names{"b"});
 }
 
-TEST_CASE("The only upstream is used for a moment after it began to leave",
+TEST_CASE("The only upstream is used for a moment after it starts leaving",
           "[view]") {
   ServingView View;
   View.update(list(1, {engine("a")}), at(1s));
@@ -68,7 +68,8 @@
   REQUIRE(names(View, at(2s) + 401ms).empty());
 }
 
-TEST_CASE("News of a leaving upstream does not begin its time anew", "[view]") {
+TEST_CASE("An update of a leaving upstream does not restart its grace period",
+          "[view]") {
   ServingView View;
   View.update(list(1, {engine("a", true)}), at(1s));
   View.update(list(2, {engine("a", true, "other")}), at(2s));
@@ -82,26 +83,29 @@
   REQUIRE(names(View, at(2s)) == Names{"b"});
 }
 
-TEST_CASE("The order giver's word holds over the list that lags", "[view]") {
+TEST_CASE("A report of the leader overrides a list that lags", "[view]") {
   ServingView View;
   View.update(list(1, {engine("a")}), at(1s));
   REQUIRE(names(View, at(1s), "a2").empty());
-  View.told({"a"}, {{.m_Name = "m", .m_Adapters = {"a1", "a2"}}}, {}, at(2s));
+  View.recordLeaderReport({"a"}, {{.m_Name = "m", .m_Adapters = {"a1", "a2"}}},
+                          {}, at(2s));
   REQUIRE(names(View, at(2s), "a2") == Names{"a"});
   View.update(list(2, {engine("a", false, "other")}), at(3s));
   REQUIRE(names(View, at(3s)) == Names{"a"});
-  SECTION("and gives way when the giver has fallen silent") {
+  SECTION("and expires when the leader has fallen silent") {
     View.update(list(3, {engine("a", false, "third")}), at(9s));
     REQUIRE(names(View, at(9s)).empty());
   }
 }
 
-TEST_CASE("A model that retires takes no new requests", "[view]") {
+TEST_CASE("A model that is being retired takes no new requests", "[view]") {
   ServingView View;
   View.update(list(1, {engine("a"), engine("b")}), at(1s));
-  View.told({"a"}, {{.m_Name = "m", .m_Adapters = {}}}, {"m"}, at(1s));
+  View.recordLeaderReport({"a"}, {{.m_Name = "m", .m_Adapters = {}}}, {"m"},
+                          at(1s));
   REQUIRE(names(View, at(2s)) == Names{"b"});
-  View.told({"a"}, {{.m_Name = "m", .m_Adapters = {}}}, {}, at(2s));
+  View.recordLeaderReport({"a"}, {{.m_Name = "m", .m_Adapters = {}}}, {},
+                          at(2s));
   REQUIRE(names(View, at(2s)) == Names{"a", "b"});
 }
 
@@ -111,210 +115,218 @@
   View.update(list(1, {engine("a", false, "x"), engine("b", false, "x")}),
               at(1s));
   REQUIRE_FALSE(View.servesAt("s", "m", nobody, at(1s)));
-  View.toldLoad({"a"}, "m", at(6s));
-  View.toldLoad({"b"}, "m", at(4s));
+  View.recordLeaderLoad({"a"}, "m", at(6s));
+  View.recordLeaderLoad({"b"}, "m", at(4s));
   REQUIRE(View.servesAt("s", "m", nobody, at(1s)) == at(4s));
   REQUIRE_FALSE(View.servesAt("other", "m", nobody, at(1s)));
   REQUIRE_FALSE(View.servesAt("s", "n", nobody, at(1s)));
-  SECTION("it is given up") {
-    View.toldLoad({"b"}, "", at(0s));
+  SECTION("the load is cancelled") {
+    View.recordLeaderLoad({"b"}, "", at(0s));
     REQUIRE(View.servesAt("s", "m", nobody, at(1s)) == at(6s));
   }
-  SECTION("its engine has gone") {
+  SECTION("its engine is gone") {
     View.update(list(2, {engine("a", false, "x")}), at(2s));
     REQUIRE(View.servesAt("s", "m", nobody, at(2s)) == at(6s));
   }
-  SECTION("it has come") {
-    View.told({"b"}, {{.m_Name = "m", .m_Adapters = {}}}, {}, at(4s));
+  SECTION("the load is done") {
+    View.recordLeaderReport({"b"}, {{.m_Name = "m", .m_Adapters = {}}}, {},
+                            at(4s));
     REQUIRE(View.servesAt("s", "m", nobody, at(4s)) == at(6s));
   }
-  SECTION("it does not come") {
+  SECTION("the load is long overdue") {
     REQUIRE_FALSE(View.servesAt("s", "m", nobody, at(10s)));
   }
 }
 
 namespace {
 
-UpstreamInstance standing(const std::string &Id,
+UpstreamInstance engineIn(const std::string &Id,
                           const std::string &DataCentre) {
   UpstreamInstance Result = engine(Id);
   Result.m_Zone = DataCentre;
   return Result;
 }
 
-Evacuations evacuated(std::uint64_t Revision,
-                      std::set<DataCentreName> DataCentres) {
+Evacuations evacuations(std::uint64_t Revision,
+                        std::set<DataCentreName> DataCentres) {
   return {.m_Revision = Revision, .m_DataCentres = std::move(DataCentres)};
 }
 
 } // namespace
 
-TEST_CASE("An evacuated data centre's upstreams get nothing",
+TEST_CASE("Upstreams of an evacuated data centre get no requests",
           "[view][evacuation]") {
   ServingView View;
-  View.update(list(1, {standing("a", "x"), standing("b", "y")}), at(1s));
-  REQUIRE(View.evacuate(evacuated(5, {DataCentreName("x")}), at(1s)));
+  View.update(list(1, {engineIn("a", "x"), engineIn("b", "y")}), at(1s));
+  REQUIRE(View.setEvacuations(evacuations(5, {DataCentreName("x")}), at(1s)));
   REQUIRE(names(View, at(1s)) == Names{"b"});
 
   SECTION("also not as a last resort") {
-    View.update(list(2, {standing("a", "x")}), at(2s));
-    View.evacuate(evacuated(6, {DataCentreName("x"), DataCentreName("y")}),
-                  at(2s));
+    View.update(list(2, {engineIn("a", "x")}), at(2s));
+    View.setEvacuations(
+        evacuations(6, {DataCentreName("x"), DataCentreName("y")}), at(2s));
     REQUIRE(names(View, at(2s)).empty());
   }
-  SECTION("and no load there is waited for") {
-    View.toldLoad({"a"}, "m2", at(3s));
+  SECTION("and no request waits for a load there") {
+    View.recordLeaderLoad({"a"}, "m2", at(3s));
     REQUIRE_FALSE(View.servesAt("s", "m2", nobody, at(1s)));
   }
-  SECTION("older news do not undo it") {
-    REQUIRE_FALSE(View.evacuate(evacuated(4, {}), at(2s)));
+  SECTION("an older revision does not undo it") {
+    REQUIRE_FALSE(View.setEvacuations(evacuations(4, {}), at(2s)));
     REQUIRE(names(View, at(2s)) == Names{"b"});
   }
-  SECTION("until it is taken back, which is remembered") {
-    REQUIRE(View.evacuate(evacuated(6, {}), at(2s)));
+  SECTION("until it ends, which is remembered") {
+    REQUIRE(View.setEvacuations(evacuations(6, {}), at(2s)));
     REQUIRE(names(View, at(2s)) == Names{"a", "b"});
-    REQUIRE(View.returnedAt(standing("a", "x")) == at(2s));
-    REQUIRE_FALSE(View.returnedAt(standing("b", "y")));
+    REQUIRE(View.evacuationEndedAt(engineIn("a", "x")) == at(2s));
+    REQUIRE_FALSE(View.evacuationEndedAt(engineIn("b", "y")));
   }
   SECTION("and again when it is evacuated once more") {
-    View.evacuate(evacuated(6, {}), at(2s));
-    View.evacuate(evacuated(7, {DataCentreName("x")}), at(2s) + 300ms);
+    View.setEvacuations(evacuations(6, {}), at(2s));
+    View.setEvacuations(evacuations(7, {DataCentreName("x")}), at(2s) + 300ms);
     REQUIRE(names(View, at(3s)) == Names{"b"});
-    REQUIRE_FALSE(View.returnedAt(standing("a", "x")));
+    REQUIRE_FALSE(View.evacuationEndedAt(engineIn("a", "x")));
   }
 }
 
-TEST_CASE("The newest news of evacuations win, in whichever order they come",
-          "[view][evacuation]") {
+TEST_CASE(
+    "The newest revision of evacuations wins, in whatever order they arrive",
+    "[view][evacuation]") {
   rc::prop("the state is that of the highest revision", [] {
-    std::vector<Evacuations> News;
+    std::vector<Evacuations> Updates;
     for (std::uint64_t Revision = 1; Revision <= 6; ++Revision) {
       std::set<DataCentreName> Asked;
       for (const char *Name : {"x", "y"})
         if (*drawn(0, 1) == 1)
           Asked.emplace(Name);
-      News.push_back(evacuated(Revision, std::move(Asked)));
+      Updates.push_back(evacuations(Revision, std::move(Asked)));
     }
     ServingView View;
     std::uint64_t Newest = 0;
     for (int Count = 0; Count < 12; ++Count) {
       const int Index = *drawn(0, 5);
-      const Evacuations &Each = News[static_cast<std::size_t>(Index)];
-      View.evacuate(Each, at(1s));
+      const Evacuations &Each = Updates[static_cast<std::size_t>(Index)];
+      View.setEvacuations(Each, at(1s));
       Newest = std::max(Newest, Each.m_Revision);
     }
-    RC_ASSERT(View.evacuations() == News[static_cast<std::size_t>(Newest - 1)]);
+    RC_ASSERT(View.evacuations() ==
+              Updates[static_cast<std::size_t>(Newest - 1)]);
   });
 }
 
-TEST_CASE("An upstream that has started again is gone and new",
+TEST_CASE("State of an upstream is discarded when it has started again",
           "[view][lives]") {
   ServingView View;
-  View.update(list(1, {born(engine("a"), 100)}), at(1s));
-  View.told({"a", 100}, {{.m_Name = "m", .m_Adapters = {"a2"}}}, {}, at(1s));
-  View.toldLoad({"a", 100}, "n", at(3s));
-  SECTION("though it never left the list") {
+  View.update(list(1, {startedAt(engine("a"), 100)}), at(1s));
+  View.recordLeaderReport({"a", 100}, {{.m_Name = "m", .m_Adapters = {"a2"}}},
+                          {}, at(1s));
+  View.recordLeaderLoad({"a", 100}, "n", at(3s));
+  SECTION("while it stayed listed") {
     const auto Gone =
-        View.update(list(2, {born(engine("a", false, "x"), 200)}), at(2s));
+        View.update(list(2, {startedAt(engine("a", false, "x"), 200)}), at(2s));
     REQUIRE(idsOf(Gone) == Names{"a"});
-    REQUIRE(Gone.front().m_Born == 100);
+    REQUIRE(Gone.front().m_StartTime == 100);
   }
-  SECTION("after it had left, whatever was heard of it since") {
+  SECTION("after it was unlisted, despite reports on it since") {
     REQUIRE(idsOf(View.update(list(2, {}), at(2s))) == Names{"a"});
-    View.told({"a", 100}, {{.m_Name = "m", .m_Adapters = {}}}, {}, at(2s));
-    View.toldLoad({"a", 100}, "n", at(3s));
-    REQUIRE(idsOf(View.update(list(3, {born(engine("a", false, "x"), 200)}),
-                              at(2s))) == Names{"a"});
+    View.recordLeaderReport({"a", 100}, {{.m_Name = "m", .m_Adapters = {}}}, {},
+                            at(2s));
+    View.recordLeaderLoad({"a", 100}, "n", at(3s));
+    REQUIRE(
+        idsOf(View.update(list(3, {startedAt(engine("a", false, "x"), 200)}),
+                          at(2s))) == Names{"a"});
   }
-  REQUIRE(View.past({"a", 100}));
-  REQUIRE_FALSE(View.past({"a", 200}));
+  REQUIRE(View.superseded({"a", 100}));
+  REQUIRE_FALSE(View.superseded({"a", 200}));
   REQUIRE(names(View, at(2s)).empty());
   REQUIRE_FALSE(View.servesAt("s", "n", nobody, at(2s)));
 }
 
-TEST_CASE("An earlier start than the newest seen is never believed again",
+TEST_CASE("An incarnation before the newest known one is never used again",
           "[view][lives]") {
   ServingView View;
-  View.update(list(1, {born(engine("a", false, "x"), 200)}), at(1s));
+  View.update(list(1, {startedAt(engine("a", false, "x"), 200)}), at(1s));
   SECTION("in a later list: the newest entry holds") {
-    REQUIRE(
-        View.update(list(2, {born(engine("a", true), 100)}), at(1s)).empty());
-    REQUIRE(View.find("a")->m_Born == 200);
+    REQUIRE(View.update(list(2, {startedAt(engine("a", true), 100)}), at(1s))
+                .empty());
+    REQUIRE(View.find("a")->m_StartTime == 200);
     REQUIRE_FALSE(View.find("a")->m_Draining);
   }
-  SECTION("in a later list, after it had left") {
+  SECTION("in a later list, after it was unlisted") {
     View.update(list(2, {}), at(1s));
-    View.update(list(3, {born(engine("a"), 100)}), at(1s));
+    View.update(list(3, {startedAt(engine("a"), 100)}), at(1s));
     REQUIRE_FALSE(View.current().contains("a"));
   }
-  SECTION("in the order giver's word") {
-    View.told({"a", 100}, {{.m_Name = "m", .m_Adapters = {}}}, {}, at(1s));
-    View.toldLoad({"a", 100}, "n", at(3s));
+  SECTION("in a report of the leader") {
+    View.recordLeaderReport({"a", 100}, {{.m_Name = "m", .m_Adapters = {}}}, {},
+                            at(1s));
+    View.recordLeaderLoad({"a", 100}, "n", at(3s));
     REQUIRE_FALSE(View.servesAt("s", "n", nobody, at(1s)));
   }
   REQUIRE(names(View, at(1s)).empty());
 }
 
-TEST_CASE("An upstream whose new start is only told of takes nothing until it "
-          "is listed",
+TEST_CASE("An upstream whose new incarnation is only reported gets no requests "
+          "until it is listed",
           "[view][lives]") {
   ServingView View;
-  View.update(list(1, {born(engine("a"), 100)}), at(1s));
-  const bool Left = GENERATE(false, true);
-  if (Left)
+  View.update(list(1, {startedAt(engine("a"), 100)}), at(1s));
+  const bool Unlisted = GENERATE(false, true);
+  if (Unlisted)
     View.update(list(2, {}), at(1s));
   REQUIRE(names(View, at(1s)) == Names{"a"});
-  View.told({"a", 200}, {{.m_Name = "m", .m_Adapters = {"a2"}}}, {}, at(1s));
+  View.recordLeaderReport({"a", 200}, {{.m_Name = "m", .m_Adapters = {"a2"}}},
+                          {}, at(1s));
   REQUIRE(names(View, at(1s)).empty());
-  REQUIRE_FALSE(View.past({"a", 100}));
-  REQUIRE(idsOf(View.update(list(3, {born(engine("a", false, "x"), 200)}),
+  REQUIRE_FALSE(View.superseded({"a", 100}));
+  REQUIRE(idsOf(View.update(list(3, {startedAt(engine("a", false, "x"), 200)}),
                             at(1s))) == Names{"a"});
   REQUIRE(names(View, at(1s), "a2") == Names{"a"});
 }
 
-TEST_CASE("The drain mark of a former start does not bind the new one",
+TEST_CASE("Draining of an earlier incarnation does not affect a later one",
           "[view][lives]") {
   ServingView View;
-  View.update(list(1, {born(engine("a", true), 100)}), at(1s));
-  View.update(list(2, {born(engine("a"), 200)}), at(2s));
+  View.update(list(1, {startedAt(engine("a", true), 100)}), at(1s));
+  View.update(list(2, {startedAt(engine("a"), 200)}), at(2s));
   REQUIRE(names(View, at(2s)) == Names{"a"});
-  SECTION("and its own mark has its own time") {
-    View.update(list(3, {born(engine("a", true), 200)}), at(3s));
+  SECTION("whose own draining has a grace period of its own") {
+    View.update(list(3, {startedAt(engine("a", true), 200)}), at(3s));
     REQUIRE(names(View, at(3s)) == Names{"a"});
     REQUIRE(names(View, at(3s) + 401ms).empty());
   }
-  SECTION("not even when it drains from the first word on") {
-    View.update(list(3, {born(engine("a", true), 300)}), at(3s));
+  SECTION("not even when it drains from its first entry on") {
+    View.update(list(3, {startedAt(engine("a", true), 300)}), at(3s));
     REQUIRE(names(View, at(3s)) == Names{"a"});
   }
 }
 
-TEST_CASE("Who tells no birth is judged by name", "[view][lives]") {
+TEST_CASE("An upstream without a start time is identified by its name",
+          "[view][lives]") {
   ServingView View;
-  View.update(list(1, {born(engine("a"), 100)}), at(1s));
+  View.update(list(1, {startedAt(engine("a"), 100)}), at(1s));
   REQUIRE(View.update(list(2, {engine("a")}), at(1s)).empty());
   REQUIRE(names(View, at(1s)) == Names{"a"});
-  REQUIRE(View.update(list(3, {born(engine("a"), 100)}), at(1s)).empty());
+  REQUIRE(View.update(list(3, {startedAt(engine("a"), 100)}), at(1s)).empty());
 }
 
-TEST_CASE(
-    "What a server says of its leaving holds against any list, for its life",
-    "[view][server-leaving]") {
+TEST_CASE("A leaving notice overrides any list for the rest of the incarnation",
+          "[view][server-leaving]") {
   ServingView View;
-  const UpstreamInstance First = born(engine("a"), 1);
+  const UpstreamInstance First = startedAt(engine("a"), 1);
   View.update(list(1, {First, engine("b")}), at(1s));
-  View.saidLeaving(First.life(), at(2s));
+  View.markLeaving(First.incarnation(), at(2s));
   REQUIRE(names(View, at(2s)) == Names{"b"});
-  REQUIRE(View.leaves(View.list().m_Instances.at("a")));
+  REQUIRE(View.isLeaving(View.list().m_Instances.at("a")));
   SECTION("a newer list that says otherwise") {
     View.update(list(2, {First, engine("b")}), at(3s));
     REQUIRE(names(View, at(3s)) == Names{"b"});
-    REQUIRE(View.leaves(View.list().m_Instances.at("a")));
+    REQUIRE(View.isLeaving(View.list().m_Instances.at("a")));
   }
-  SECTION("also when it is the last one, but for a moment") {
+  SECTION("also when it is the only one, after a grace period") {
     ServingView Alone;
     Alone.update(list(1, {First}), at(1s));
-    Alone.saidLeaving(First.life(), at(2s));
+    Alone.markLeaving(First.incarnation(), at(2s));
     REQUIRE(names(Alone, at(2s)) == Names{"a"});
     REQUIRE(names(Alone, at(2s) + 401ms).empty());
     Alone.update(list(2, {First}), at(3s));
@@ -325,17 +337,18 @@
     View.update(list(3, {First, engine("b")}), at(4s));
     REQUIRE(names(View, at(4s)) == Names{"b"});
   }
-  SECTION("not for a later life, nor by a late word of the former") {
-    View.update(list(2, {born(engine("a"), 2), engine("b")}), at(3s));
+  SECTION(
+      "but not for a later incarnation, nor by a late notice of the earlier") {
+    View.update(list(2, {startedAt(engine("a"), 2), engine("b")}), at(3s));
     REQUIRE(names(View, at(3s)) == Names{"a", "b"});
-    View.saidLeaving(First.life(), at(4s));
+    View.markLeaving(First.incarnation(), at(4s));
     REQUIRE(names(View, at(4s)) == Names{"a", "b"});
   }
 }
 
-TEST_CASE("A word of leaving that comes before the list holds", "[view]") {
+TEST_CASE("A leaving notice that arrives before the list holds", "[view]") {
   ServingView View;
-  View.saidLeaving(engine("a").life(), at(1s));
+  View.markLeaving(engine("a").incarnation(), at(1s));
   View.update(list(1, {engine("a"), engine("b")}), at(2s));
   REQUIRE(names(View, at(2s)) == Names{"b"});
 }
--- a/tests/decisions/process/SharedRetryBudgetTest.cpp
+++ b/tests/decisions/process/SharedRetryBudgetTest.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-TEST_CASE("Repeats of all boxes stay below the bound in every window",
+TEST_CASE("Retries of all boxes stay below the bound in every window",
           "[budget][property]") {
   rc::prop("shared bound", [] {
     const int Boxes = *drawn(1, 9);
@@ -29,34 +29,34 @@
         SharedRetryBudget(
             {.m_Ratio = Ratio, .m_Allowance = Allowance, .m_Window = Window}));
     std::vector<TimePoint> Requests;
-    std::vector<TimePoint> Repeats;
+    std::vector<TimePoint> Retries;
     TimePoint Now = at(0s);
     for (int Step = 0; Step < 400; ++Step) {
       Now += std::chrono::milliseconds(*drawn(0, 200));
       SharedRetryBudget &Box =
           Budgets[static_cast<std::size_t>(*drawn(0, Boxes))];
       if (*drawn(0, 3) == 0) {
-        Box.requested("s", Now);
+        Box.recordRequest("s", Now);
         Requests.push_back(Now);
       } else if (Box.trySpend("s", Boxes, Now)) {
-        Repeats.push_back(Now);
+        Retries.push_back(Now);
       }
       const double Bound =
           Ratio * static_cast<double>(countIn(Requests, Now)) + Allowance;
-      RC_ASSERT(static_cast<double>(countIn(Repeats, Now)) <= Bound);
+      RC_ASSERT(static_cast<double>(countIn(Retries, Now)) <= Bound);
     }
   });
 }
 
-TEST_CASE("Boxes that start again do not have their allowance twice",
+TEST_CASE("Boxes that start again do not get their allowance twice",
           "[budget][property]") {
-  rc::prop("shared bound over lives", [] {
+  rc::prop("shared bound with restarts", [] {
     const int Boxes = *drawn(1, 9);
     const SharedRetryBudget::Options Opts{
         .m_Ratio = Ratio, .m_Allowance = Allowance, .m_Window = Window};
     std::vector<SharedRetryBudget> Budgets(static_cast<std::size_t>(Boxes),
                                            SharedRetryBudget(Opts, at(0s)));
-    std::vector<TimePoint> Repeats;
+    std::vector<TimePoint> Retries;
     TimePoint Now = at(0s);
     for (int Step = 0; Step < 400; ++Step) {
       Now += std::chrono::milliseconds(*drawn(0, 200));
@@ -65,8 +65,8 @@
       if (*drawn(0, 20) == 0)
         Box = SharedRetryBudget(Opts, Now);
       else if (Box.trySpend("s", Boxes, Now))
-        Repeats.push_back(Now);
-      RC_ASSERT(static_cast<double>(countIn(Repeats, Now)) <= Allowance);
+        Retries.push_back(Now);
+      RC_ASSERT(static_cast<double>(countIn(Retries, Now)) <= Allowance);
     }
   });
 }
--- a/tests/decisions/process/UpstreamDirectoryTest.cpp
+++ b/tests/decisions/process/UpstreamDirectoryTest.cpp
@@ -9,7 +9,7 @@
 
 constexpr int UpstreamCount = 4;
 
-/// The platform's list at \p Index; an upstream leaves once, for good.
+/// The platform's list at \p Index. An upstream that is leaving stays so.
 UpstreamList listAt(std::uint64_t Index,
                     const std::map<int, std::uint64_t> &LeavesAt) {
   UpstreamList List{.m_Index = Index, .m_Upstreams = {}};
@@ -79,13 +79,13 @@
   REQUIRE_FALSE(Directory.apply(Digest));
   REQUIRE(Directory.serving(modelName(1), {}).size() == 1);
 
-  SECTION("one of a newer owner counts, whatever its sequence") {
+  SECTION("a newer owner's digest counts, whatever its sequence") {
     Digest.m_Assignment = 3;
     Digest.m_Sequence = 1;
     REQUIRE(Directory.apply(Digest));
     REQUIRE(Directory.serving(modelName(1), {}).empty());
   }
-  SECTION("a new owner that has not read the ledger takes nothing away") {
+  SECTION("a new owner that has not read the ledger removes no model") {
     Digest.m_Assignment = 3;
     Digest.m_Ready = false;
     REQUIRE(Directory.apply(Digest));
@@ -93,7 +93,8 @@
   }
 }
 
-TEST_CASE("What this box sent counts until the next digest", "[directory]") {
+TEST_CASE("Requests that this box sent count until the next digest",
+          "[directory]") {
   UpstreamDirectory Directory;
   Directory.apply(listAt(1, {}));
   UpstreamDigest Digest;
@@ -102,7 +103,7 @@
   Digest.m_Sequence = 1;
   Digest.m_Serving = {modelName(1)};
   Directory.apply(Digest);
-  Directory.noteSent(upstreamName(1));
+  Directory.recordSent(upstreamName(1));
   REQUIRE(Directory.serving(modelName(1), {}).at(0).m_Pressure == 1);
   ++Digest.m_Sequence;
   Directory.apply(Digest);
--- a/tests/decisions/process/ShortlistTest.cpp
+++ b/tests/decisions/process/UpstreamSubsetTest.cpp
@@ -1,4 +1,4 @@
-#include "decisions/process/Shortlist.h"
+#include "decisions/process/UpstreamSubset.h"
 #include "support/Draw.h"
 
 #include <catch2/catch.hpp>
@@ -22,14 +22,14 @@
   return Result;
 }
 
-std::set<InstanceId> ids(const Shortlist::Chosen &Of) {
+std::set<InstanceId> ids(const UpstreamSubset::Selection &Of) {
   std::set<InstanceId> Result;
   for (const UpstreamInstance *Each : Of)
     Result.insert(Each->m_Id);
   return Result;
 }
 
-Upstreams copies(const Shortlist::Chosen &Of) {
+Upstreams copies(const UpstreamSubset::Selection &Of) {
   Upstreams Result;
   for (const UpstreamInstance *Each : Of)
     Result.push_back(*Each);
@@ -47,8 +47,8 @@
   return Result;
 }
 
-/// Engines of which each holds three of 30 models; every 20th one holds a model
-/// that no other does.
+/// Engines that hold three of 30 models each. Every 20th one instead of one of
+/// these holds a model that no other engine does.
 Upstreams fleetOf(int Engines) {
   Upstreams Result;
   for (int Number = 0; Number < Engines; ++Number) {
@@ -76,68 +76,71 @@
   return Result;
 }
 
-const Shortlist::Options Small{
-    .m_PerRegion = 3, .m_PerDataCentre = 2, .m_SlotsPerDataCentre = 100};
+const UpstreamSubset::Options Small{.m_ReplicasPerRegion = 3,
+                                    .m_ReplicasPerDataCentre = 2,
+                                    .m_SlotsPerDataCentre = 100};
 
 } // namespace
 
-TEST_CASE("What a box knows does not grow with the fleet", "[shortlist]") {
+TEST_CASE("The subset that a box knows does not grow with the fleet",
+          "[shortlist]") {
   const Upstreams Half = fleetOf(5000);
   const Upstreams Whole = fleetOf(10000);
-  const Shortlist OfHalf(pointers(Half), Map);
-  const Shortlist OfWhole(pointers(Whole), Map);
+  const UpstreamSubset OfHalf(pointers(Half), Map);
+  const UpstreamSubset OfWhole(pointers(Whole), Map);
   const DataCentreName Own("a-1");
-  // 30 models with 16 replicas in two regions and 8 in a data centre, and 40
-  // engines with a model of their own.
+  // 30 models with 16 replicas in each of two regions and 8 in a data centre,
+  // and 40 engines with a model of their own.
   constexpr std::size_t Most = 30 * (2 * 16 + 8) + 40;
   REQUIRE(OfHalf.forDataCentre(Own).size() <= Most);
   REQUIRE(OfWhole.forDataCentre(Own).size() <= Most);
   REQUIRE(OfWhole.forAll().size() <= Most + 30 * 2 * 8);
 }
 
-TEST_CASE("A fleet with few replicas of each model is known whole",
+TEST_CASE("All upstreams are selected when each model has few replicas",
           "[shortlist]") {
   const Upstreams All = fleetOf(90);
-  const Shortlist Of(pointers(All), Map);
+  const UpstreamSubset Of(pointers(All), Map);
   REQUIRE(Of.forDataCentre(DataCentreName("b-1")).size() == All.size());
 }
 
-TEST_CASE("An upstream that leaves is known until it is gone, and its "
-          "successor already",
+TEST_CASE("A leaving upstream stays selected until it is gone, beside its "
+          "successor",
           "[shortlist]") {
   Upstreams All;
   for (int Number = 0; Number < 30; ++Number)
     All.push_back(engine(3 * Number, {"m"}));
   const DataCentreName Own("a-1");
   const std::set<InstanceId> Before =
-      ids(Shortlist(pointers(All), Map, Small).forDataCentre(Own));
+      ids(UpstreamSubset(pointers(All), Map, Small).forDataCentre(Own));
   REQUIRE(Before.size() == 3);
   for (UpstreamInstance &Each : All)
     Each.m_Draining = Each.m_Id == *Before.begin();
   const std::set<InstanceId> After =
-      ids(Shortlist(pointers(All), Map, Small).forDataCentre(Own));
+      ids(UpstreamSubset(pointers(All), Map, Small).forDataCentre(Own));
   REQUIRE(After.size() == 4);
   REQUIRE(
       std::includes(After.begin(), After.end(), Before.begin(), Before.end()));
 }
 
-TEST_CASE("Servers of a service without models are counted by their slots",
+TEST_CASE("Upstreams of a service without models are counted by their slots",
           "[shortlist]") {
   Upstreams All;
   for (int Number = 0; Number < 300; ++Number) {
     All.push_back(engine(3 * Number, {}));
     All.back().m_Slots = 4;
   }
-  const Shortlist Of(
-      pointers(All), Map,
-      {.m_PerRegion = 3, .m_PerDataCentre = 2, .m_SlotsPerDataCentre = 100});
+  const UpstreamSubset Of(pointers(All), Map,
+                          {.m_ReplicasPerRegion = 3,
+                           .m_ReplicasPerDataCentre = 2,
+                           .m_SlotsPerDataCentre = 100});
   REQUIRE(Of.forDataCentre(DataCentreName("a-1")).size() == 25);
 }
 
-TEST_CASE("Shortlists of drawn fleets", "[shortlist][proof]") {
-  rc::prop("name a replica of every model, and are their own shortlist", [] {
+TEST_CASE("Subsets of random fleets", "[shortlist][proof]") {
+  rc::prop("hold a replica of every model, and are their own subset", [] {
     const Upstreams All = drawnUpstreams();
-    const Shortlist Of(pointers(All), Map, Small);
+    const UpstreamSubset Of(pointers(All), Map, Small);
     for (const std::string &Name : DataCentres) {
       const DataCentreName Own(Name);
       const Upstreams Known = copies(Of.forDataCentre(Own));
@@ -148,19 +151,19 @@
       for (const UpstreamInstance &Each : All)
         for (const ResidentModel &Model : Each.m_Models)
           RC_ASSERT(Models.contains(Model.m_Name));
-      const Shortlist Again(pointers(Known), Map, Small);
+      const UpstreamSubset Again(pointers(Known), Map, Small);
       RC_ASSERT(ids(Again.forDataCentre(Own)).size() == Known.size());
       RC_ASSERT(ids(Again.forAll()).size() == Known.size());
-      const std::set<InstanceId> Everybodys = ids(Of.forAll());
+      const std::set<InstanceId> OfAll = ids(Of.forAll());
       for (const UpstreamInstance &Each : Known)
-        RC_ASSERT(Everybodys.contains(Each.m_Id));
+        RC_ASSERT(OfAll.contains(Each.m_Id));
     }
   });
   rc::prop("do not depend on the order in which the list is read", [] {
     const Upstreams All = drawnUpstreams();
     std::vector<const UpstreamInstance *> Reversed = pointers(All);
     std::reverse(Reversed.begin(), Reversed.end());
-    RC_ASSERT(ids(Shortlist(pointers(All), Map, Small).forAll()) ==
-              ids(Shortlist(Reversed, Map, Small).forAll()));
+    RC_ASSERT(ids(UpstreamSubset(pointers(All), Map, Small).forAll()) ==
+              ids(UpstreamSubset(Reversed, Map, Small).forAll()));
   });
 }
--- a/tests/decisions/process/WarmUpHerdTest.cpp
+++ b/tests/decisions/process/WarmUpHerdTest.cpp
@@ -10,17 +10,18 @@
 
 namespace {
 
-/// Boxes that choose among warm engines by loads that the others tell late, and
-/// one engine that loses all its work at once.
-class Herd {
+/// Boxes that choose among warm engines by loads that the others report late,
+/// and one engine that loses all its work at once.
+class HerdSimulation {
 public:
   static constexpr std::size_t Boxes = 90;
   static constexpr std::size_t Engines = 8;
   static constexpr Duration Step = 5ms;
-  /// Loads are told this often, and are on their way for as long.
-  static constexpr Duration TellEvery = 250ms;
+  /// Loads are reported this often, and reports take as long to arrive.
+  static constexpr Duration ReportInterval = 250ms;
 
-  explicit Herd(double PerS) : m_PerS(PerS), m_Loads(Boxes) {
+  explicit HerdSimulation(double RatePerSecond)
+      : m_RatePerSecond(RatePerSecond), m_Loads(Boxes) {
     for (std::size_t Each = 0; Each < Engines; ++Each) {
       UpstreamInstance Engine;
       Engine.m_Id = "e" + std::to_string(Each);
@@ -33,20 +34,20 @@
   void play(Duration Length) {
     for (const TimePoint End = m_Now + Length; m_Now < End; m_Now += Step) {
       finish();
-      if ((m_Now - TimePoint{}) % TellEvery == 0us)
-        tell();
-      if (m_Unit(m_Random) < m_PerS * inSeconds(Step))
+      if ((m_Now - TimePoint{}) % ReportInterval == 0us)
+        reportLoads();
+      if (m_Unit(m_Random) < m_RatePerSecond * inSeconds(Step))
         send(static_cast<std::size_t>(m_Unit(m_Random) * Boxes));
     }
   }
-  /// The first engine ends all that it runs.
+  /// Ends all requests of the first engine.
   void empty() {
     for (Running &Each : m_Running)
       if (Each.m_Engine == 0)
         Each.m_Ends = m_Now;
     m_EmptyAt = m_Now;
   }
-  /// Most requests to the first engine in one second since it was emptied.
+  /// Most requests to the first engine in one second after it was emptied.
   std::size_t worstSecond() const {
     std::size_t Most = 0;
     for (auto First = m_Arrivals.begin(); First != m_Arrivals.end(); ++First) {
@@ -74,19 +75,19 @@
       return true;
     });
   }
-  void tell() {
-    std::vector<InstanceLoads> Words;
+  void reportLoads() {
+    std::vector<InstanceLoads> Reports;
     for (const LoadBook &Each : m_Loads)
-      Words.push_back(Each.own());
-    m_Words.push_back(std::move(Words));
-    if (m_Words.size() < 2)
+      Reports.push_back(Each.own());
+    m_Reports.push_back(std::move(Reports));
+    if (m_Reports.size() < 2)
       return;
     for (std::size_t From = 0; From < Boxes; ++From)
       for (std::size_t To = 0; To < Boxes; ++To)
         if (From != To)
           m_Loads[To].told(BoxName("b" + std::to_string(From)),
-                           m_Words.front()[From], m_Now);
-    m_Words.pop_front();
+                           m_Reports.front()[From], m_Now);
+    m_Reports.pop_front();
   }
   void send(std::size_t Box) {
     std::vector<const UpstreamInstance *> Candidates;
@@ -113,14 +114,14 @@
 
   static constexpr double WorkMs = 100;
 
-  double m_PerS;
+  double m_RatePerSecond;
   std::vector<LoadBook> m_Loads;
   std::vector<UpstreamInstance> m_Engines;
   PrefixIndex m_Prefixes{1e6};
   LatencyModel m_Latency;
   FailureBook m_Failures;
   DataCentreMap m_DataCentres;
-  std::deque<std::vector<InstanceLoads>> m_Words;
+  std::deque<std::vector<InstanceLoads>> m_Reports;
   std::vector<Running> m_Running;
   std::vector<TimePoint> m_Arrivals;
   std::mt19937_64 m_Random{1};
@@ -131,10 +132,10 @@
 
 } // namespace
 
-TEST_CASE("A herd comes to an engine that empties while boxes take it for warm",
+TEST_CASE("Boxes rush to an engine that empties while they take it for warm",
           "[.][warmup-herd]") {
   for (const double PerEngine : {2.0, 4.0, 6.0, 10.0}) {
-    Herd Boxes(PerEngine * Herd::Engines);
+    HerdSimulation Boxes(PerEngine * HerdSimulation::Engines);
     Boxes.play(5s);
     Boxes.empty();
     Boxes.play(3s);
--- a/tests/decisions/request/ReplicaChoiceTest.cpp
+++ b/tests/decisions/request/ReplicaChoiceTest.cpp
@@ -29,7 +29,7 @@
   FailureBook m_Failures;
   DataCentreMap m_DataCentres;
   WarmUpView m_WarmUp;
-  ServerWords m_Words;
+  UpstreamSignals m_Words;
   SendBounds m_Bounds{m_WarmUp, m_Words};
 
   std::optional<ChosenReplica>
@@ -74,7 +74,7 @@
   const auto &Reader = First ? A : B;
   RequestDescriptor Earlier = prompt(8000, 10);
   Earlier.m_Prompt.back().m_Id = "other";
-  Known.m_Prefixes.noteRead(Reader.m_Id, Earlier);
+  Known.m_Prefixes.recordRead(Reader.m_Id, Earlier);
   REQUIRE(Known.choose({&A, &B}, prompt(8000, 1000))->m_Instance == &Reader);
 }
 
@@ -142,13 +142,13 @@
   Books Known;
   ServiceSpec Service;
   Service.m_Name = "s";
-  Service.m_WarmUp = {.m_After = 60s, .m_RequestsPerS = 10};
+  Service.m_WarmUp = {.m_ColdTime = 60s, .m_RequestsPerSecond = 10};
   Known.m_WarmUp.configure({Service});
   UpstreamInstance Cold = engine("cold");
   UpstreamInstance Warm = engine("warm");
   Cold.m_Service = Warm.m_Service = "s";
   Cold.m_ColdFor = 60s;
-  Known.m_WarmUp.listed(
+  Known.m_WarmUp.update(
       {.m_Revision = 1, .m_Instances = {{"cold", Cold}, {"warm", Warm}}},
       at(1s));
   const auto Chosen = [&] {
@@ -158,7 +158,7 @@
   REQUIRE(Chosen() == "warm");
   Known.m_Loads.sent("warm", 120, 10);
   REQUIRE(Chosen() == "cold");
-  Known.m_Bounds.noteBusy("cold", at(1s) + 900ms, at(1s));
+  Known.m_Bounds.recordNextPermit("cold", at(1s) + 900ms, at(1s));
   REQUIRE(Chosen() == "warm");
 }
 
@@ -168,7 +168,7 @@
   Books Known;
   const UpstreamInstance Limited = engine("limited");
   const UpstreamInstance Whole = engine("whole");
-  Known.m_Words.toldLimit(Limited.life(), 1, BoxName("b"), 0s, at(1s));
+  Known.m_Words.mergeLimit(Limited.incarnation(), 1, BoxName("b"), 0s, at(1s));
   const auto Chosen = [&] {
     return *Known.choose({&Limited, &Whole}, prompt(0, 10));
   };
@@ -178,7 +178,7 @@
   REQUIRE(Chosen().m_Limited);
   REQUIRE(Chosen().m_SpareMs.value() > 0);
   REQUIRE(Chosen().m_SpareMs.value() < 25);
-  Known.m_Bounds.noteBusy("limited", at(1s) + 100ms, at(1s));
+  Known.m_Bounds.recordNextPermit("limited", at(1s) + 100ms, at(1s));
   REQUIRE(Chosen().m_Instance == &Whole);
   SECTION("alone it has no other to be compared with") {
     REQUIRE_FALSE(Known.choose({&Limited}, prompt(0, 10))->m_SpareMs);
--- a/tests/decisions/request/RequestReachTest.cpp
+++ b/tests/decisions/request/RequestReachTest.cpp
@@ -95,9 +95,9 @@
   Reach InSouth({South});
   InSouth.list(1, {engine("e-a", "a", false), engine("e-b", "b", false)},
                at(1s));
-  InSouth.m_View.toldLoad({"e-a"}, "m", at(2s));
+  InSouth.m_View.recordLeaderLoad({"e-a"}, "m", at(2s));
   REQUIRE_FALSE(InSouth.get().servesAt(at(1s)));
-  InSouth.m_View.toldLoad({"e-b"}, "m", at(4s));
+  InSouth.m_View.recordLeaderLoad({"e-b"}, "m", at(4s));
   REQUIRE(InSouth.get().servesAt(at(1s)) == at(4s));
   REQUIRE(InSouth.get().any());
 }
--- a/tests/decisions/request/RetryAfterRefusalTest.cpp
+++ b/tests/decisions/request/RetryAfterRefusalTest.cpp
@@ -19,14 +19,14 @@
           "[server-retry-after]") {
   const UpstreamInstance Soon = server("soon");
   const UpstreamInstance Late = server("late");
-  ServerWords Words;
-  Words.heardRetryAfter(Late.life(), 9s, Start);
+  UpstreamSignals Words;
+  Words.recordRetryAfter(Late.incarnation(), 9s, Start);
   SECTION("none while one of them takes requests, or where there is none") {
     REQUIRE_FALSE(refuseForRetryAfter({&Soon, &Late}, Words, 0, Start));
     REQUIRE_FALSE(refuseForRetryAfter({}, Words, 0, Start));
   }
   SECTION("over half of the time that is left") {
-    Words.heardRetryAfter(Soon.life(), 4s, Start);
+    Words.recordRetryAfter(Soon.incarnation(), 4s, Start);
     const auto At = [&](double Draw) {
       return refuseForRetryAfter({&Late, &Soon}, Words, Draw, Start + 1s);
     };
@@ -34,7 +34,7 @@
     REQUIRE(At(1)->m_After == 4500ms);
   }
   SECTION("or a little more where that is short") {
-    Words.heardRetryAfter(Soon.life(), 100ms, Start);
+    Words.recordRetryAfter(Soon.incarnation(), 100ms, Start);
     REQUIRE(refuseForRetryAfter({&Soon}, Words, 1, Start)->m_After == 350ms);
   }
 }
--- a/tests/gateway/CrashTest.cpp
+++ b/tests/gateway/CrashTest.cpp
@@ -432,10 +432,10 @@
   for (const auto &[Id, Runner] : Test.m_Runners)
     Test.listBorn(Id, 1000);
   REQUIRE(Test.until([&] {
-    return std::all_of(Test.m_Boxes.begin(), Test.m_Boxes.end(),
-                       [](const auto &Box) {
-                         return Box->state().m_Upstreams.tellingBirth() == 5;
-                       });
+    return std::all_of(
+        Test.m_Boxes.begin(), Test.m_Boxes.end(), [](const auto &Box) {
+          return Box->state().m_Upstreams.countWithStartTime() == 5;
+        });
   }));
   // It takes connections again at once, and is listed later.
   std::string Ended;
@@ -447,7 +447,7 @@
           Ended = Id;
           To->reset();
         });
-  UpstreamBirth Born = 1000;
+  StartTime Born = 1000;
   for (int Try = 0; Try < 3; ++Try) {
     Ended.clear();
     REQUIRE(Test.attempt("/unsafe/x", CrashTest::Boom).m_Status == 502);
--- a/tests/gateway/GatewayTest.h
+++ b/tests/gateway/GatewayTest.h
@@ -56,7 +56,7 @@
   }
 
   /// Lists the runner \p Id as one that started at \p Born.
-  void listBorn(const std::string &Id, UpstreamBirth Born) {
+  void listBorn(const std::string &Id, StartTime Born) {
     Json Entry = entry(Id, "ready");
     Entry["born"] = Born;
     m_Store.put("servers/" + Id, dumpJson(Entry));
@@ -93,7 +93,7 @@
   /// Lists the runner \p Id as an engine of the service `llm` that holds
   /// \p Models.
   void listEngine(const std::string &Id, const std::vector<std::string> &Models,
-                  UpstreamBirth Born = 0, const std::string &DataCentre = "a") {
+                  StartTime Born = 0, const std::string &DataCentre = "a") {
     Json Resident = Json::array();
     for (const std::string &Name : Models)
       Resident.push_back({{"name", Name}, {"adapterList", Json::array()}});
--- a/tests/gateway/OrderTest.cpp
+++ b/tests/gateway/OrderTest.cpp
@@ -30,8 +30,8 @@
   }
 
   /// It ends, and starts again under its name.
-  void startAgain(UpstreamBirth Born) {
-    m_Born = Born;
+  void startAgain(StartTime Born) {
+    m_StartTime = Born;
     m_Orders.clear();
     m_Adapters.clear();
   }
@@ -41,7 +41,7 @@
 private:
   Json report() const {
     return {{"sequenceNumber", m_Orders.size()},
-            {"born", m_Born},
+            {"born", m_StartTime},
             {"utilization", false},
             {"modelList",
              Json::array({{{"name", "m"}, {"adapterList", m_Adapters}}})}};
@@ -56,7 +56,7 @@
     To->write(StandinRunner::answer(Of, 202, ""));
   }
 
-  UpstreamBirth m_Born = 100;
+  StartTime m_StartTime = 100;
   std::set<std::string> m_Adapters;
 };
 
@@ -121,7 +121,7 @@
   OrderTest Test;
   REQUIRE(Test.runs("m/a2"));
   const bool ListLags = GENERATE(false, true);
-  const UpstreamBirth Born = GENERATE(200, 0);
+  const StartTime Born = GENERATE(200, 0);
   Test.m_Engine.startAgain(Born);
   if (!ListLags)
     Test.listEngine("i-1", {"m"}, Born);
--- a/tests/gateway/PlatformTest.cpp
+++ b/tests/gateway/PlatformTest.cpp
@@ -183,7 +183,8 @@
                          "version":"v1","slots":8,"state":"ready",
                          "sequenceNumber":1,
                          "born":1790000000123,"coldRemainingMs":2500})");
-  CHECK(Server.life() == UpstreamLife{.m_Id = "i-1", .m_Born = 1790000000123});
+  CHECK(Server.incarnation() ==
+        UpstreamIncarnation{.m_Id = "i-1", .m_StartTime = 1790000000123});
   CHECK(Server.m_ColdFor == 2500ms);
 
   const ServingConfig Config = platform::decodeConfig(
@@ -198,7 +199,7 @@
   CHECK(Config.m_Organisations.front().m_AllowedRegions ==
         std::set{RegionName("south")});
   CHECK(Config.m_Services.front().m_WarmUp ==
-        WarmUpSpec{.m_After = 3s, .m_RequestsPerS = 6.6});
+        WarmUpSpec{.m_ColdTime = 3s, .m_RequestsPerSecond = 6.6});
 
   const PlatformBinding Binding = platform::makeBinding("");
   const AnswerFacts Facts = Binding.m_Dialect.m_ReadAnswer(
--- a/tests/gateway/RequestPermitTest.cpp
+++ b/tests/gateway/RequestPermitTest.cpp
@@ -27,7 +27,7 @@
   RequestPermitTest() {
     ServiceSpec Service;
     Service.m_Name = "s";
-    Service.m_WarmUp = {.m_After = 60s, .m_RequestsPerS = 6.6};
+    Service.m_WarmUp = {.m_ColdTime = 60s, .m_RequestsPerSecond = 6.6};
     m_View.configure({Service});
     InstanceList List;
     for (const char *Id : {"e", "f"}) {
@@ -36,7 +36,7 @@
       Entry.m_Service = "s";
       Entry.m_ColdFor = 60s;
     }
-    m_View.listed(List, EventLoop::now());
+    m_View.update(List, EventLoop::now());
   }
 
   static PermitAnswer granted(Duration From, Duration For) {
@@ -54,7 +54,7 @@
 
   EventLoop m_Loop;
   WarmUpView m_View;
-  ServerWords m_Words;
+  UpstreamSignals m_Words;
   SendBounds m_Bounds{m_View, m_Words};
   std::shared_ptr<HeldPermitDesk> m_Desk = std::make_shared<HeldPermitDesk>();
   int m_Resumed = 0;
--- a/tests/gateway/RestartTest.cpp
+++ b/tests/gateway/RestartTest.cpp
@@ -20,9 +20,9 @@
     REQUIRE(until([&] { return bornAt() == 100; }));
   }
 
-  UpstreamBirth bornAt() const {
+  StartTime bornAt() const {
     const auto *Found = m_Gateway->state().m_Upstreams.find("i-1");
-    return Found == nullptr ? 0 : Found->m_Born;
+    return Found == nullptr ? 0 : Found->m_StartTime;
   }
 
   /// What it had taken it drops without an answer.
--- a/tests/gateway/ServerWordsFleet.h
+++ b/tests/gateway/ServerWordsFleet.h
@@ -43,8 +43,8 @@
 
   bool allBelieve(const InstanceId &Id, double PerS) const {
     return std::all_of(m_Boxes.begin(), m_Boxes.end(), [&](const auto &Box) {
-      const NamedLimit *Limit = Box->state().m_Words.limit(Id);
-      return Limit != nullptr && Limit->m_PerS == PerS;
+      const AdvertisedLimit *Limit = Box->state().m_Words.limit(Id);
+      return Limit != nullptr && Limit->m_RatePerSecond == PerS;
     });
   }
   bool noneBelieves(const InstanceId &Id) const {
--- a/tests/soak/SoakEngine.cpp
+++ b/tests/soak/SoakEngine.cpp
@@ -60,7 +60,7 @@
 
 void SoakEngine::takeName() {
   m_Id = m_Opts.m_Name + "-" + std::to_string(++m_Lives);
-  m_Born = EventLoop::wallMillis();
+  m_StartTime = EventLoop::wallMillis();
 }
 
 void SoakEngine::publish() {
@@ -72,7 +72,7 @@
       {"slots", m_Opts.m_Slots},
       {"version", "v1"},
       {"state", m_Draining ? "draining" : "ready"},
-      {"born", m_Born},
+      {"born", m_StartTime},
       {"coldRemainingMs", std::max<std::int64_t>(0, (m_ColdUntil - Now) / 1ms)},
       {"sequenceNumber", m_Shelf ? m_Shelf->taken() : 0}};
   if (m_Shelf)
@@ -129,7 +129,7 @@
   // A process that starts is not leaving, whatever the one before did.
   m_Draining = false;
   m_Timers.clear();
-  m_Born = std::max(m_Born + 1, EventLoop::wallMillis());
+  m_StartTime = std::max(m_StartTime + 1, EventLoop::wallMillis());
   m_ColdUntil = Now + Cold;
   if (m_Shelf)
     m_Shelf->forget();
@@ -258,7 +258,7 @@
                                      {"modelList", m_Shelf->models()},
                                      {"utilization", m_Shelf->busy()},
                                      {"sequenceNumber", m_Shelf->taken()},
-                                     {"born", m_Born},
+                                     {"born", m_StartTime},
                                      {"queuedRequests", 0},
                                      {"activeRequests", m_Active}});
   To->write(head(Asked, 200,
--- a/tests/soak/SoakEngine.h
+++ b/tests/soak/SoakEngine.h
@@ -101,7 +101,7 @@
   std::string m_Id;
   int m_Lives = 0;
   std::uint64_t m_Runs = 0;
-  WallMillis m_Born = 0;
+  WallMillis m_StartTime = 0;
   TimePoint m_ColdUntil;
   int m_Active = 0;
   bool m_Listed = true;
--- a/tests/wire/PeerFramesTest.cpp
+++ b/tests/wire/PeerFramesTest.cpp
@@ -149,7 +149,7 @@
   Contents.m_Loading = *rc::gen::element<std::string>("", "m7");
   Contents.m_ServesIn = std::chrono::milliseconds(*rc::gen::inRange(0, 9000));
   Contents.m_Engine = "i-1";
-  Contents.m_Born = *rc::gen::element<UpstreamBirth>(0, 1790000000123);
+  Contents.m_StartTime = *rc::gen::element<StartTime>(0, 1790000000123);
   Contents.m_Models = {{.m_Name = "m", .m_Adapters = {"a1", "a2"}}};
   Contents.m_Retiring = {"m"};
   return {.m_FencingToken = *rc::gen::arbitrary<std::uint64_t>(),
@@ -224,9 +224,9 @@
           PermitAnswerFrame{Attempt,
                             {.m_Granted = *rc::gen::arbitrary<bool>(),
                              .m_After = Duration(*drawn(0, 9000000))}},
-          WarmUpNewsFrame{{.m_Id = "i-1", .m_Born = *drawn(0, 90000)},
+          WarmUpNewsFrame{{.m_Id = "i-1", .m_StartTime = *drawn(0, 90000)},
                           Duration(*drawn(0, 9000000))},
-          CrashFrame{{.m_Id = "i-1", .m_Born = *drawn(0, 90000)},
+          CrashFrame{{.m_Id = "i-1", .m_StartTime = *drawn(0, 90000)},
                      {RequestDigest(drawnText()), RequestDigest("d")}},
           CrashSuspectsFrame{{RequestDigest(drawnText())}},
           RanWellFrame{RequestDigest(drawnText())},
@@ -237,7 +237,7 @@
                              .m_Left = Duration(*drawn(0, 9000000))}}},
           packed(CancelFrame{Attempt}),
           FleetTotalsFrame{Attempt, Attempt / 2, drawnLoads()},
-          ServerWordFrame{{.m_Id = "i-1", .m_Born = *drawn(0, 90000)},
+          ServerWordFrame{{.m_Id = "i-1", .m_StartTime = *drawn(0, 90000)},
                           *drawn(0, 900) / 4.0,
                           false,
                           Duration(*drawn(0, 9000000)),
@@ -281,7 +281,7 @@
 }
 
 TEST_CASE("A word that names no limit comes back as it was", "[frames]") {
-  ServerWordFrame Word{.m_Life = {.m_Id = "i-1", .m_Born = 7}};
+  ServerWordFrame Word{.m_Life = {.m_Id = "i-1", .m_StartTime = 7}};
   Word.m_LimitEnded = GENERATE(true, false);
   Word.m_Leaving = GENERATE(true, false);
   REQUIRE(std::get<ServerWordFrame>(decodeFrame(encodeFrame(Word))) == Word);
