--- a/packages/decisions/process/ReplicaPlanner.cpp
+++ b/packages/decisions/process/ReplicaPlanner.cpp
@@ -152,8 +152,8 @@
     return nearestSource(Engine.m_InMemory, Engine.m_OnDisk, Model);
   }
 
-  /// Approximate cost of a load: the engine's present load and the worth of the
-  /// cheapest victim. Empty when the model does not fit.
+  /// Approximate cost of a load: the engine's current load and the worth
+  /// of the cheapest victim. Empty when the model does not fit.
   std::optional<double> roughCost(std::size_t At,
                                   const std::string &Model) const {
     /// A load from the store takes about 5 s longer than one from host memory
--- a/packages/decisions/process/ResidencyOrder.h
+++ b/packages/decisions/process/ResidencyOrder.h
@@ -26,7 +26,7 @@
 /// Identifies the leader that gives an order, and the engine's state that it
 /// expects.
 struct OrderStamp {
-  std::string m_Holder; ///< The box that holds the lease of leadership.
+  std::string m_Leader; ///< The box that holds the lease of leadership.
   std::uint64_t m_FencingToken = 0;
   std::uint64_t m_ExpectedCount = 0; ///< Orders the engine has accepted so far.
 };
--- a/packages/decisions/process/UpstreamDirectory.cpp
+++ b/packages/decisions/process/UpstreamDirectory.cpp
@@ -32,10 +32,10 @@
 
 bool UpstreamDirectory::apply(const UpstreamDigest &Digest) {
   UpstreamDigest &Known = m_Digests[Digest.m_Upstream];
-  const auto Age = [](const UpstreamDigest &Of) {
-    return std::tie(Of.m_Assignment, Of.m_Sequence);
+  const auto Version = [](const UpstreamDigest &Item) {
+    return std::tie(Item.m_Assignment, Item.m_Sequence);
   };
-  if (!Known.m_Upstream.empty() && Age(Digest) <= Age(Known))
+  if (!Known.m_Upstream.empty() && Version(Digest) <= Version(Known))
     return false;
   const std::set<ArtifactName> Served = Known.m_Serving;
   unindexServing(Known);
--- a/packages/decisions/process/UpstreamSignals.cpp
+++ b/packages/decisions/process/UpstreamSignals.cpp
@@ -68,14 +68,14 @@
     Current->m_Limit = {.m_RatePerSecond = *RatePerSecond,
                         .m_Since = Now - Age,
                         .m_ReceivedAt = Now,
-                        .m_By = By};
+                        .m_ReportedBy = By};
     return LimitChange::Begun;
   }
   if (Current->m_Limit->m_RatePerSecond == *RatePerSecond)
     return LimitChange::None;
   Current->m_Limit->m_RatePerSecond = *RatePerSecond;
   Current->m_Limit->m_ReceivedAt = Now;
-  Current->m_Limit->m_By = By;
+  Current->m_Limit->m_ReportedBy = By;
   return LimitChange::Altered;
 }
 
@@ -84,7 +84,7 @@
   Signals *Current = signalsOf(Upstream);
   if (Current == nullptr || Current->m_Leaving)
     return false;
-  Current->m_Leaving = {.m_Since = Now, .m_By = By};
+  Current->m_Leaving = {.m_Since = Now, .m_ReportedBy = By};
   return true;
 }
 
--- a/packages/decisions/process/UpstreamSignals.h
+++ b/packages/decisions/process/UpstreamSignals.h
@@ -20,7 +20,8 @@
   /// When this box learned of it. Only the answer to a request that is sent
   /// later can end the limit.
   TimePoint m_ReceivedAt{};
-  BoxName m_By; ///< The box that reported it; this box for its own answers.
+  /// The box that reported it; this box for its own answers.
+  BoxName m_ReportedBy;
 
   bool operator==(const AdvertisedLimit &) const = default;
 };
@@ -28,7 +29,8 @@
 /// An upstream's notice that it is leaving, as far as this box knows.
 struct LeavingNotice {
   TimePoint m_Since{}; ///< When this box learned of it.
-  BoxName m_By; ///< The box that reported it; this box for its own answers.
+  /// The box that reported it; this box for its own answers.
+  BoxName m_ReportedBy;
 
   bool operator==(const LeavingNotice &) const = default;
 };
--- a/packages/gateway/process/OrderGiver.cpp
+++ b/packages/gateway/process/OrderGiver.cpp
@@ -445,7 +445,7 @@
       return false;
     m_Ceiling.ordered(Id);
   }
-  const OrderStamp Stamp{.m_Holder = m_Opts.m_Claim.m_Holder,
+  const OrderStamp Stamp{.m_Leader = m_Opts.m_Claim.m_Holder,
                          .m_FencingToken = m_Claim.token(),
                          .m_ExpectedCount = To.m_Ledger.begin(Order, Now)};
   m_Log.write("order",
--- a/packages/gateway/process/PermitExchange.cpp
+++ b/packages/gateway/process/PermitExchange.cpp
@@ -177,7 +177,7 @@
        {"warm_in_ms", Ends ? Json((*Ends - Now) / 1ms) : Json()},
        {"limit_per_s",
         Limit != nullptr ? Json(Limit->m_RatePerSecond) : Json()},
-       {"limit_by", Limit != nullptr ? Limit->m_By.str() : ""},
+       {"limit_by", Limit != nullptr ? Limit->m_ReportedBy.str() : ""},
        {"limit_age_ms",
         Limit != nullptr ? Json((Now - Limit->m_ReceivedAt) / 1ms) : Json()}});
   Of.m_Done(Answer);
--- a/tests/decisions/process/UpstreamSignalsTest.cpp
+++ b/tests/decisions/process/UpstreamSignalsTest.cpp
@@ -37,7 +37,7 @@
   REQUIRE(*Signals.limit("s") == AdvertisedLimit{.m_RatePerSecond = 0.5,
                                                  .m_Since = Start + 10ms,
                                                  .m_ReceivedAt = Start + 20ms,
-                                                 .m_By = Self});
+                                                 .m_ReportedBy = Self});
   REQUIRE(RecordLimit(std::nullopt, 15ms, 30ms) == LimitChange::None);
   REQUIRE(RecordLimit(std::nullopt, 21ms, 40ms) == LimitChange::Ended);
   REQUIRE(Signals.limit("s") == nullptr);
@@ -98,7 +98,7 @@
   REQUIRE_FALSE(Signals.recordLeaving(Upstream, Self, Start + 1s));
   REQUIRE(Signals.leaving() ==
           std::map<UpstreamIncarnation, LeavingNotice>{
-              {Upstream, {.m_Since = Start, .m_By = Other}}});
+              {Upstream, {.m_Since = Start, .m_ReportedBy = Other}}});
   Signals.update(listOf(1), Start + 9s);
   REQUIRE(Signals.leaving().size() == 1);
   Signals.update(listOf(2), Start + 10s);
