--- a/packages/decisions/process/CrashTracker.cpp
+++ b/packages/decisions/process/CrashTracker.cpp
@@ -34,7 +34,7 @@
 } // namespace
 
 CrashTracker::RecordResult
-CrashTracker::recordCrash(const UpstreamLife &Upstream,
+CrashTracker::recordCrash(const UpstreamIncarnation &Upstream,
                           const std::vector<RequestDigest> &Running,
                           TimePoint Now) {
   RecordResult Result;
@@ -87,7 +87,7 @@
 void CrashTracker::clear(const RequestDigest &Request) {
   if (const auto Found = m_CrashesByRequest.find(Request);
       Found != m_CrashesByRequest.end()) {
-    for (const UpstreamLife &Upstream : Found->second)
+    for (const UpstreamIncarnation &Upstream : Found->second)
       m_Crashes.at(Upstream).m_Running.erase(Request);
     m_CrashesByRequest.erase(Found);
   }
@@ -127,7 +127,7 @@
   const auto Found = m_CrashesByRequest.find(Request);
   if (Found == m_CrashesByRequest.end())
     return Result;
-  for (const UpstreamLife &Upstream : Found->second) {
+  for (const UpstreamIncarnation &Upstream : Found->second) {
     const Crash &Event = m_Crashes.at(Upstream);
     if (Now - Event.m_At < m_Opts.m_CrashRetention &&
         !explainedByQuarantine(Event, Request, Now))
@@ -241,7 +241,7 @@
                                  const BoxName &By, TimePoint Now) {
   RequestQuarantine Quarantine{
       .m_By = By, .m_Since = Now, .m_Until = Now + m_Opts.m_QuarantineDuration};
-  for (const UpstreamLife &Upstream : m_CrashesByRequest.at(Request))
+  for (const UpstreamIncarnation &Upstream : m_CrashesByRequest.at(Request))
     if (Quarantine.m_Servers.size() < MaxNamedUpstreams)
       Quarantine.m_Servers.push_back(Upstream.m_Id);
   insertQuarantine(Request, std::move(Quarantine));
@@ -281,7 +281,7 @@
     clear(Each);
 }
 
-void CrashTracker::forgetCrash(const UpstreamLife &Upstream) {
+void CrashTracker::forgetCrash(const UpstreamIncarnation &Upstream) {
   const auto Found = m_Crashes.find(Upstream);
   for (const RequestDigest &Each : Found->second.m_Running) {
     const auto WithRequest = m_CrashesByRequest.find(Each);
@@ -293,11 +293,11 @@
 }
 
 void CrashTracker::prune(TimePoint Now) {
-  std::vector<UpstreamLife> Old;
+  std::vector<UpstreamIncarnation> Old;
   for (const auto &[Upstream, Event] : m_Crashes)
     if (Now - Event.m_At >= m_Opts.m_CrashRetention)
       Old.push_back(Upstream);
-  for (const UpstreamLife &Upstream : Old)
+  for (const UpstreamIncarnation &Upstream : Old)
     forgetCrash(Upstream);
   for (auto Each = m_Quarantines.begin(); Each != m_Quarantines.end();) {
     if (Now < Each->second.m_Until) {
--- a/packages/decisions/process/CrashTracker.h
+++ b/packages/decisions/process/CrashTracker.h
@@ -6,7 +6,7 @@
 
 #include "decisions/common/Id.h"
 #include "decisions/common/Time.h"
-#include "decisions/process/UpstreamLife.h"
+#include "decisions/process/UpstreamIncarnation.h"
 #include <cstddef>
 #include <map>
 #include <optional>
@@ -87,7 +87,7 @@
 
   /// Records that \p Upstream crashed while it ran \p Running. Reports of
   /// several boxes about one crash are merged.
-  RecordResult recordCrash(const UpstreamLife &Upstream,
+  RecordResult recordCrash(const UpstreamIncarnation &Upstream,
                            const std::vector<RequestDigest> &Running,
                            TimePoint Now);
   /// Records that an upstream has run \p Request to completion and is still
@@ -172,12 +172,12 @@
   void insertQuarantine(const RequestDigest &Request,
                         RequestQuarantine Quarantine);
   void clear(const RequestDigest &Request);
-  void forgetCrash(const UpstreamLife &Upstream);
+  void forgetCrash(const UpstreamIncarnation &Upstream);
 
   Options m_Opts;
-  std::map<UpstreamLife, Crash> m_Crashes;
+  std::map<UpstreamIncarnation, Crash> m_Crashes;
   /// Index of m_Crashes by the requests that were running.
-  std::map<RequestDigest, std::set<UpstreamLife>> m_CrashesByRequest;
+  std::map<RequestDigest, std::set<UpstreamIncarnation>> m_CrashesByRequest;
   /// Requests that other boxes suspect, with the time of the last report.
   std::map<RequestDigest, TimePoint> m_Suspects;
   std::map<RequestDigest, TimePoint> m_Completed;
--- a/packages/decisions/process/EngineLedger.cpp
+++ b/packages/decisions/process/EngineLedger.cpp
@@ -72,7 +72,7 @@
 bool EngineLedger::confirmsRestart(const ResidencyReport &Report,
                                    TimePoint AskedAt) {
   // One such report may be a late answer in place of the one that was due.
-  return Report.m_Born == 0 && AskedAt > m_CountKnownAt &&
+  return Report.m_StartTime == 0 && AskedAt > m_CountKnownAt &&
          std::exchange(m_SawLowerCount, true);
 }
 
--- a/packages/decisions/process/IncarnationTracker.cpp
+++ b/packages/decisions/process/IncarnationTracker.cpp
@@ -4,16 +4,16 @@
 
 namespace havenstair {
 
-bool IncarnationTracker::record(const UpstreamLife &Incarnation) {
-  if (Incarnation.m_Born == 0)
+bool IncarnationTracker::record(const UpstreamIncarnation &Incarnation) {
+  if (Incarnation.m_StartTime == 0)
     return false;
-  UpstreamBirth &Newest = m_Newest[Incarnation.m_Id];
-  if (Incarnation.m_Born <= Newest)
+  StartTime &Newest = m_Newest[Incarnation.m_Id];
+  if (Incarnation.m_StartTime <= Newest)
     return false;
-  return std::exchange(Newest, Incarnation.m_Born) != 0;
+  return std::exchange(Newest, Incarnation.m_StartTime) != 0;
 }
 
-UpstreamBirth IncarnationTracker::newest(const InstanceId &Id) const {
+StartTime IncarnationTracker::newest(const InstanceId &Id) const {
   const auto Found = m_Newest.find(Id);
   return Found == m_Newest.end() ? 0 : Found->second;
 }
--- a/packages/decisions/process/IncarnationTracker.h
+++ b/packages/decisions/process/IncarnationTracker.h
@@ -3,7 +3,7 @@
 #ifndef HAVENSTAIR_DECISIONS_PROCESS_INCARNATIONTRACKER_H
 #define HAVENSTAIR_DECISIONS_PROCESS_INCARNATIONTRACKER_H
 
-#include "decisions/process/UpstreamLife.h"
+#include "decisions/process/UpstreamIncarnation.h"
 #include <map>
 
 namespace havenstair {
@@ -15,20 +15,20 @@
 class IncarnationTracker {
 public:
   /// Whether no later incarnation than \p Incarnation is known.
-  bool isCurrent(const UpstreamLife &Incarnation) const {
-    return Incarnation.m_Born == 0 ||
-           Incarnation.m_Born >= newest(Incarnation.m_Id);
+  bool isCurrent(const UpstreamIncarnation &Incarnation) const {
+    return Incarnation.m_StartTime == 0 ||
+           Incarnation.m_StartTime >= newest(Incarnation.m_Id);
   }
   /// Records that \p Incarnation exists. \returns whether the upstream has
   /// restarted since the last record.
-  bool record(const UpstreamLife &Incarnation);
+  bool record(const UpstreamIncarnation &Incarnation);
   /// Start time of the newest incarnation; 0 when none is known.
-  UpstreamBirth newest(const InstanceId &Id) const;
+  StartTime newest(const InstanceId &Id) const;
 
 private:
   /// Never pruned: a message may come at any time, and an entry takes less than
   /// 100 bytes.
-  std::map<InstanceId, UpstreamBirth> m_Newest;
+  std::map<InstanceId, StartTime> m_Newest;
 };
 
 } // namespace havenstair
--- a/packages/decisions/process/UpstreamDirectory.cpp
+++ b/packages/decisions/process/UpstreamDirectory.cpp
@@ -12,7 +12,7 @@
   m_Specs.clear();
   for (const UpstreamSpec &Spec : List.m_Upstreams)
     m_Specs[Spec.m_Name] = Spec;
-  // What a peer saw in a still newer list stays marked.
+  // What a peer saw in an even newer list stays marked.
   std::erase_if(m_Leaving,
                 [&](const auto &Item) { return Item.second <= m_Index; });
   for (const auto &[Name, Spec] : m_Specs)
@@ -32,10 +32,10 @@
 
 bool UpstreamDirectory::apply(const UpstreamDigest &Digest) {
   UpstreamDigest &Known = m_Digests[Digest.m_Upstream];
-  const auto Age = [](const UpstreamDigest &Of) {
-    return std::tie(Of.m_Assignment, Of.m_Sequence);
+  const auto Version = [](const UpstreamDigest &Item) {
+    return std::tie(Item.m_Assignment, Item.m_Sequence);
   };
-  if (!Known.m_Upstream.empty() && Age(Digest) <= Age(Known))
+  if (!Known.m_Upstream.empty() && Version(Digest) <= Version(Known))
     return false;
   const std::set<ArtifactName> Served = Known.m_Serving;
   unindexServing(Known);
@@ -81,7 +81,7 @@
   Known = std::max(Known, Index);
 }
 
-void UpstreamDirectory::noteSent(const UpstreamName &Upstream) {
+void UpstreamDirectory::recordSent(const UpstreamName &Upstream) {
   ++m_SentSince[Upstream];
 }
 
--- a/packages/decisions/request/ReplicaChoice.cpp
+++ b/packages/decisions/request/ReplicaChoice.cpp
@@ -50,7 +50,7 @@
 /// after the other, at its rate. One with a rate limit is as fast as others as
 /// long as permits are available.
 double boundMs(const SendBound &Bound, const ReplicaWeights &Weights) {
-  return Bound.m_Cold ? 1000 / Bound.m_Cold->m_RequestsPerS
+  return Bound.m_Cold ? 1000 / Bound.m_Cold->m_RequestsPerSecond
                       : Weights.m_PermitMs;
 }
 
--- a/packages/decisions/request/RetryAfterRefusal.cpp
+++ b/packages/decisions/request/RetryAfterRefusal.cpp
@@ -17,7 +17,8 @@
 
 std::optional<RetryAfterRefusal>
 refuseForRetryAfter(const std::vector<const UpstreamInstance *> &Upstreams,
-                    const ServerWords &Signals, double Draw, TimePoint Now) {
+                    const UpstreamSignals &Signals, double Draw,
+                    TimePoint Now) {
   std::optional<RetryAfterRefusal> First;
   for (const UpstreamInstance *Upstream : Upstreams) {
     const auto Until = Signals.retryAt(Upstream->m_Id, Now);
--- a/packages/decisions/request/RetryAfterRefusal.h
+++ b/packages/decisions/request/RetryAfterRefusal.h
@@ -5,7 +5,7 @@
 #define HAVENSTAIR_DECISIONS_REQUEST_RETRYAFTERREFUSAL_H
 
 #include "decisions/common/Time.h"
-#include "decisions/process/ServerWords.h"
+#include "decisions/process/UpstreamSignals.h"
 #include <optional>
 #include <vector>
 
@@ -27,7 +27,7 @@
 /// none.
 std::optional<RetryAfterRefusal>
 refuseForRetryAfter(const std::vector<const UpstreamInstance *> &Upstreams,
-                    const ServerWords &Signals, double Draw, TimePoint Now);
+                    const UpstreamSignals &Signals, double Draw, TimePoint Now);
 
 } // namespace havenstair
 
--- a/packages/decisions/request/UpstreamEligibility.cpp
+++ b/packages/decisions/request/UpstreamEligibility.cpp
@@ -23,7 +23,7 @@
 
 bool UpstreamEligibility::any() const {
   return !m_Regions.restricted() ||
-         m_View.anyOf(m_Service, [&](const InstanceId &Id) {
+         m_View.anyAvailable(m_Service, [&](const InstanceId &Id) {
            return inForbiddenRegion(Id);
          });
 }
--- a/tests/decisions/process/CrashTrackerTest.cpp
+++ b/tests/decisions/process/CrashTrackerTest.cpp
@@ -62,7 +62,8 @@
     Test.m_Tracker.recordCrash({.m_Id = "i-1"}, {Bad}, Test.m_Now);
   REQUIRE(Test.m_Tracker.crashCount(Bad, Test.m_Now) == 1);
   SECTION("and a crash of a later incarnation is another one") {
-    Test.m_Tracker.recordCrash({.m_Id = "i-1", .m_Born = 5}, {Bad}, Test.m_Now);
+    Test.m_Tracker.recordCrash({.m_Id = "i-1", .m_StartTime = 5}, {Bad},
+                               Test.m_Now);
     REQUIRE(Test.m_Tracker.crashCount(Bad, Test.m_Now) == 2);
   }
 }
@@ -72,7 +73,7 @@
   TrackerTest Test;
   Test.crash({Bad, Beside});
   Test.crash({Bad, Beside});
-  const UpstreamLife Last{.m_Id = "last"};
+  const UpstreamIncarnation Last{.m_Id = "last"};
   Test.m_Tracker.recordCrash(Last, {Beside}, Test.m_Now);
   REQUIRE(Test.quarantineSuspects().empty());
   const auto DecisionTime = Test.m_Tracker.decisionTime(Beside, Test.m_Now);
--- a/tests/decisions/request/ReplicaChoiceTest.cpp
+++ b/tests/decisions/request/ReplicaChoiceTest.cpp
@@ -29,7 +29,7 @@
   FailureTracker m_Failures;
   DataCentreMap m_DataCentres;
   WarmUpView m_WarmUp;
-  ServerWords m_Words;
+  UpstreamSignals m_Words;
   SendBounds m_Bounds{m_WarmUp, m_Words};
 
   std::optional<ChosenReplica>
@@ -77,7 +77,7 @@
   const auto &Cached = First ? A : B;
   RequestDescriptor Earlier = prompt(8000, 10);
   Earlier.m_Prompt.back().m_Id = "other";
-  Stats.m_Prefixes.noteRead(Cached.m_Id, Earlier);
+  Stats.m_Prefixes.recordRead(Cached.m_Id, Earlier);
   REQUIRE(Stats.choose({&A, &B}, prompt(8000, 1000))->m_Instance == &Cached);
 }
 
@@ -148,13 +148,13 @@
   UpstreamStats Stats;
   ServiceSpec Service;
   Service.m_Name = "s";
-  Service.m_WarmUp = {.m_After = 60s, .m_RequestsPerS = 10};
+  Service.m_WarmUp = {.m_ColdTime = 60s, .m_RequestsPerSecond = 10};
   Stats.m_WarmUp.configure({Service});
   UpstreamInstance Cold = engine("cold");
   UpstreamInstance Warm = engine("warm");
   Cold.m_Service = Warm.m_Service = "s";
   Cold.m_ColdFor = 60s;
-  Stats.m_WarmUp.listed(
+  Stats.m_WarmUp.update(
       {.m_Revision = 1, .m_Instances = {{"cold", Cold}, {"warm", Warm}}},
       at(1s));
   const auto Chosen = [&] {
@@ -164,7 +164,7 @@
   REQUIRE(Chosen() == "warm");
   Stats.m_Loads.onSent("warm", 120, 10);
   REQUIRE(Chosen() == "cold");
-  Stats.m_Bounds.noteBusy("cold", at(1s) + 900ms, at(1s));
+  Stats.m_Bounds.recordNextPermit("cold", at(1s) + 900ms, at(1s));
   REQUIRE(Chosen() == "warm");
 }
 
@@ -175,7 +175,7 @@
   UpstreamStats Stats;
   const UpstreamInstance Limited = engine("limited");
   const UpstreamInstance Unlimited = engine("unlimited");
-  Stats.m_Words.toldLimit(Limited.life(), 1, BoxName("b"), 0s, at(1s));
+  Stats.m_Words.mergeLimit(Limited.incarnation(), 1, BoxName("b"), 0s, at(1s));
   const auto Chosen = [&] {
     return *Stats.choose({&Limited, &Unlimited}, prompt(0, 10));
   };
@@ -185,7 +185,7 @@
   REQUIRE(Chosen().m_Limited);
   REQUIRE(Chosen().m_PermitSavingMs.value() > 0);
   REQUIRE(Chosen().m_PermitSavingMs.value() < 25);
-  Stats.m_Bounds.noteBusy("limited", at(1s) + 100ms, at(1s));
+  Stats.m_Bounds.recordNextPermit("limited", at(1s) + 100ms, at(1s));
   REQUIRE(Chosen().m_Instance == &Unlimited);
   SECTION("alone it has no upstream to be compared with") {
     REQUIRE_FALSE(Stats.choose({&Limited}, prompt(0, 10))->m_PermitSavingMs);
--- a/tests/decisions/request/RetryAfterRefusalTest.cpp
+++ b/tests/decisions/request/RetryAfterRefusalTest.cpp
@@ -20,14 +20,14 @@
     "[server-retry-after]") {
   const UpstreamInstance Soon = upstream("soon");
   const UpstreamInstance Late = upstream("late");
-  ServerWords Signals;
-  Signals.heardRetryAfter(Late.life(), 9s, Start);
+  UpstreamSignals Signals;
+  Signals.recordRetryAfter(Late.incarnation(), 9s, Start);
   SECTION("none while one of them accepts requests, or without upstreams") {
     REQUIRE_FALSE(refuseForRetryAfter({&Soon, &Late}, Signals, 0, Start));
     REQUIRE_FALSE(refuseForRetryAfter({}, Signals, 0, Start));
   }
   SECTION("over half of the remaining time") {
-    Signals.heardRetryAfter(Soon.life(), 4s, Start);
+    Signals.recordRetryAfter(Soon.incarnation(), 4s, Start);
     const auto RefusalWith = [&](double Draw) {
       return refuseForRetryAfter({&Late, &Soon}, Signals, Draw, Start + 1s);
     };
@@ -36,7 +36,7 @@
     REQUIRE(RefusalWith(1)->m_After == 4500ms);
   }
   SECTION("over a minimum where that is short") {
-    Signals.heardRetryAfter(Soon.life(), 100ms, Start);
+    Signals.recordRetryAfter(Soon.incarnation(), 100ms, Start);
     REQUIRE(refuseForRetryAfter({&Soon}, Signals, 1, Start)->m_After == 350ms);
   }
 }
