--- a/packages/gateway/common/DecisionLog.cpp
+++ b/packages/gateway/common/DecisionLog.cpp
@@ -9,12 +9,15 @@
 
 namespace {
 
-/// Lines are gathered for this long, so that many cost one system call.
-constexpr Duration GatherFor = 50ms;
-constexpr Duration RetryAfterFull = 200ms;
+/// Lines are collected for this time, so that many of them cost one system
+/// call.
+constexpr Duration FlushDelay = 50ms;
+/// Time until the next write to a descriptor whose buffer is full.
+constexpr Duration FullRetryDelay = 200ms;
 
-/// Files never block; pipes and sockets do unless they are told not to.
-void neverBlock(int Descriptor) {
+/// Makes writes to pipes and sockets non-blocking. Writes to regular files
+/// never block.
+void setNonBlocking(int Descriptor) {
   struct stat Status {};
   if (fstat(Descriptor, &Status) != 0 || S_ISREG(Status.st_mode))
     return;
@@ -27,36 +30,36 @@
 
 DecisionLog::DecisionLog(EventLoop &Loop, Options Opts)
     : m_Loop(Loop), m_Opts(Opts), m_Start(EventLoop::now()) {
-  neverBlock(m_Opts.m_Descriptor);
+  setNonBlocking(m_Opts.m_Descriptor);
 }
 
 DecisionLog::~DecisionLog() { flush(); }
 
-bool DecisionLog::allowed(std::string_view Event, TimePoint Now) {
+bool DecisionLog::admit(std::string_view Event, TimePoint Now) {
   const auto Second = Now.time_since_epoch() / 1s;
   auto Found = m_Windows.find(Event);
   if (Found == m_Windows.end())
     Found = m_Windows.emplace(std::string(Event), Window{}).first;
   Window &Current = Found->second;
   if (Current.m_Second != Second) {
-    const std::uint64_t LeftOut = Current.m_LeftOut;
+    const std::uint64_t Dropped = Current.m_Dropped;
     Current = {.m_Second = Second};
-    if (LeftOut > 0)
-      append("left_out", {{"of", Event}, {"lines", LeftOut}}, Now);
+    if (Dropped > 0)
+      append("left_out", {{"of", Event}, {"lines", Dropped}}, Now);
   }
-  if (Current.m_Lines < m_Opts.m_PerKindAndSecond &&
-      m_Buffer.size() < m_Opts.m_MostBuffered) {
+  if (Current.m_Lines < m_Opts.m_MaxLinesPerSecond &&
+      m_Buffer.size() < m_Opts.m_MaxBufferedBytes) {
     ++Current.m_Lines;
     return true;
   }
-  ++Current.m_LeftOut;
-  ++m_LeftOut;
+  ++Current.m_Dropped;
+  ++m_Dropped;
   return false;
 }
 
 void DecisionLog::write(std::string_view Event, Fields Values) {
   const TimePoint Now = EventLoop::now();
-  if (!allowed(Event, Now))
+  if (!admit(Event, Now))
     return;
   Json Line = Json::object();
   for (const auto &[Name, Value] : Values)
@@ -71,7 +74,7 @@
   m_Buffer += dumpJson(Line);
   m_Buffer += '\n';
   if (!m_FlushDue)
-    flushLater(GatherFor);
+    flushLater(FlushDelay);
 }
 
 void DecisionLog::flushLater(Duration Delay) {
@@ -89,7 +92,7 @@
     if (Written < 0 && errno == EINTR)
       continue;
     if (Written < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
-      return flushLater(RetryAfterFull);
+      return flushLater(FullRetryDelay);
     if (Written <= 0) {
       m_Buffer.clear();
       return;
--- a/packages/gateway/common/DecisionLog.h
+++ b/packages/gateway/common/DecisionLog.h
@@ -1,5 +1,5 @@
 /// \file
-/// Structured log lines on standard output, one for each decision.
+/// Structured log with one line for each decision.
 #ifndef HAVENSTAIR_GATEWAY_COMMON_DECISIONLOG_H
 #define HAVENSTAIR_GATEWAY_COMMON_DECISIONLOG_H
 
@@ -14,17 +14,18 @@
 
 namespace havenstair {
 
-/// Writes JSON lines into a bounded buffer that the loop empties. It never
-/// blocks: what does not fit, or passes the bound of its kind in a second, is
-/// left out and counted.
+/// Writes JSON lines into a bounded buffer that the event loop flushes. It
+/// never blocks: lines that do not fit into the buffer, or exceed the limit of
+/// their kind in a second, are dropped and counted.
 class DecisionLog {
 public:
   struct Options {
-    int m_Descriptor = 1;
-    std::size_t m_MostBuffered = 512 << 10;
-    /// Lines of one kind in a second.
-    int m_PerKindAndSecond = 100;
+    int m_Descriptor = 1; ///< Standard output.
+    std::size_t m_MaxBufferedBytes = 512 << 10;
+    /// Limit for lines of one kind in a second.
+    int m_MaxLinesPerSecond = 100;
   };
+  /// Names and values of a line.
   using Fields = std::initializer_list<std::pair<std::string_view, Json>>;
 
   DecisionLog(EventLoop &Loop, Options Opts);
@@ -32,18 +33,20 @@
   DecisionLog(const DecisionLog &) = delete;
   DecisionLog &operator=(const DecisionLog &) = delete;
 
-  /// Adds a line of the kind \p Event.
+  /// Adds a line of the kind \p Event, or drops it.
   void write(std::string_view Event, Fields Values);
-  std::uint64_t leftOut() const { return m_LeftOut; }
+  /// \returns how many lines have been dropped since the start.
+  std::uint64_t droppedLines() const { return m_Dropped; }
 
 private:
+  /// Lines of one kind in the current second.
   struct Window {
     std::int64_t m_Second = 0;
     int m_Lines = 0;
-    std::uint64_t m_LeftOut = 0;
+    std::uint64_t m_Dropped = 0;
   };
 
-  bool allowed(std::string_view Event, TimePoint Now);
+  bool admit(std::string_view Event, TimePoint Now);
   void append(std::string_view Event, Json Line, TimePoint Now);
   void flush();
   void flushLater(Duration Delay);
@@ -53,7 +56,7 @@
   TimePoint m_Start;
   std::map<std::string, Window, std::less<>> m_Windows;
   std::string m_Buffer;
-  std::uint64_t m_LeftOut = 0;
+  std::uint64_t m_Dropped = 0;
   bool m_FlushDue = false;
   Timer m_Timer;
 };
--- /dev/null
+++ b/packages/gateway/process/CrashDetector.cpp
@@ -0,0 +1,132 @@
+#include "gateway/process/CrashDetector.h"
+
+#include "wire/common/EventLoop.h"
+#include <algorithm>
+#include <utility>
+
+namespace havenstair {
+
+namespace {
+
+/// Time for which broken connections count as one crash: they break within
+/// milliseconds of each other, and a later start of the upstream is listed
+/// within three of its heartbeats plus the lag of the list.
+constexpr Duration SuspectRetention = 10s;
+
+/// Limit for upstreams that are tracked; broken connections to further ones are
+/// ignored.
+constexpr std::size_t MaxSuspects = 256;
+constexpr std::size_t MaxRunning = 256;
+
+} // namespace
+
+CrashDetector::CrashDetector(HttpClient &Client, const ServingView &View,
+                             Hooks Callbacks)
+    : m_Client(Client), m_View(View), m_Hooks(std::move(Callbacks)) {}
+
+void CrashDetector::onConnectionBroken(
+    const UpstreamLife &Upstream, const std::optional<RequestDigest> &Request,
+    TimePoint Now) {
+  const UpstreamInstance *At = m_View.find(Upstream.m_Id);
+  // An upstream that leaves as planned breaks the connections of what still
+  // runs.
+  if (At == nullptr || m_View.leaves(*At) || At->m_Remaining)
+    return;
+  if (!m_Suspects.contains(Upstream) && m_Suspects.size() >= MaxSuspects)
+    return;
+  const auto [Found, New] =
+      m_Suspects.try_emplace(Upstream, Suspect{.m_At = Now});
+  Suspect &Entry = Found->second;
+  Entry.m_At = Now;
+  const bool Noted = !Request || Entry.m_Running.contains(*Request);
+  if (Request && Entry.m_Running.size() < MaxRunning)
+    Entry.m_Running.insert(*Request);
+  if (Entry.m_State == State::Ended && Noted)
+    return;
+  if (Entry.m_State == State::Ended)
+    return m_Hooks.m_Ended(Upstream, {*Request});
+  if (m_View.past(Upstream))
+    return markEnded(Upstream);
+  if (New || Entry.m_State != State::Probing)
+    probe(Upstream, *At);
+}
+
+void CrashDetector::probe(const UpstreamLife &Upstream,
+                          const UpstreamInstance &At) {
+  HttpCall Call = m_Hooks.m_Probe(At);
+  const TimePoint ProbedAt = EventLoop::now();
+  const TimePoint Until = ProbedAt + Call.m_ConnectTimeout;
+  Suspect &Entry = m_Suspects.at(Upstream);
+  Entry.m_State = State::Probing;
+  Entry.m_Probe =
+      m_Client.fetchHeld(std::move(Call), [this, Upstream, ProbedAt,
+                                           Until](const HttpAnswer &Answer) {
+        onProbeAnswer(Upstream, Answer, ProbedAt, EventLoop::now() < Until);
+      });
+}
+
+void CrashDetector::onProbeAnswer(const UpstreamLife &Upstream,
+                                  const HttpAnswer &Answer, TimePoint ProbedAt,
+                                  bool InTime) {
+  const auto Found = m_Suspects.find(Upstream);
+  if (Found == m_Suspects.end() || Found->second.m_State == State::Ended)
+    return;
+  const bool Refused = Answer.m_End == HttpEnd::NotWritten && InTime;
+  const AnswerFacts Facts =
+      m_Hooks.m_ReadAnswer(Answer.m_Status, Answer.m_Headers);
+  const bool Other =
+      !Facts.m_Instance.empty() && Facts.m_Instance != Upstream.m_Id;
+  if (Refused || Other || m_View.past(Upstream))
+    return markEnded(Upstream);
+  const bool Answered = Answer.m_End == HttpEnd::Complete;
+  Found->second.m_State = Answered ? State::Alive : State::Silent;
+  m_Hooks.m_NotEnded(Upstream, Facts, ProbedAt);
+}
+
+void CrashDetector::markEnded(const UpstreamLife &Upstream) {
+  Suspect &Entry = m_Suspects.at(Upstream);
+  Entry.m_State = State::Ended;
+  const std::set<RequestDigest> Running = Entry.m_Running;
+  m_Hooks.m_Ended(Upstream, Running);
+}
+
+bool CrashDetector::probing(const RequestDigest &Request) const {
+  return std::any_of(m_Suspects.begin(), m_Suspects.end(),
+                     [&](const auto &Each) {
+                       return Each.second.m_State == State::Probing &&
+                              Each.second.m_Running.contains(Request);
+                     });
+}
+
+void CrashDetector::onEndReported(const UpstreamLife &Upstream) {
+  const auto Found = m_Suspects.find(Upstream);
+  if (Found != m_Suspects.end() && (Found->second.m_State == State::Probing ||
+                                    Found->second.m_State == State::Silent))
+    markEnded(Upstream);
+}
+
+bool CrashDetector::mayHaveEnded(const UpstreamLife &Upstream) const {
+  const auto Found = m_Suspects.find(Upstream);
+  return Found != m_Suspects.end() && Found->second.m_State != State::Alive;
+}
+
+void CrashDetector::onListChanged(TimePoint Now) {
+  std::vector<UpstreamLife> Ended;
+  for (const auto &[Upstream, Entry] : m_Suspects) {
+    const bool Gone = Entry.m_State == State::Silent &&
+                      !m_View.list().m_Instances.contains(Upstream.m_Id) &&
+                      Now - Entry.m_At < SuspectRetention;
+    if (Entry.m_State != State::Ended && (Gone || m_View.past(Upstream)))
+      Ended.push_back(Upstream);
+  }
+  for (const UpstreamLife &Upstream : Ended)
+    markEnded(Upstream);
+}
+
+void CrashDetector::prune(TimePoint Now) {
+  std::erase_if(m_Suspects, [&](const auto &Each) {
+    return Now - Each.second.m_At > SuspectRetention;
+  });
+}
+
+} // namespace havenstair
--- a/packages/gateway/process/CrashExchange.cpp
+++ b/packages/gateway/process/CrashExchange.cpp
@@ -12,32 +12,36 @@
 
 namespace {
 
-/// How often bars are brought to the store, and what is old is forgotten.
-constexpr Duration TickEvery = 250ms;
+/// Interval at which quarantines are written to the store and old state is
+/// dropped.
+constexpr Duration TickInterval = 250ms;
 
-/// Runs that wait for that: ten times what a box answers in such a time.
-constexpr std::size_t MostRuns = 2048;
+/// Limit for completed runs that wait to be confirmed: ten times as many as a
+/// box completes within the blame window.
+constexpr std::size_t MaxRuns = 2048;
 
-/// A server that is asked answers or refuses within this time.
-constexpr Duration AskedFor = 300ms;
+/// How long a request is held for a running probe, which is answered or refused
+/// within this time.
+constexpr Duration ProbeHold = 300ms;
 
-/// A timer may end some milliseconds before its time.
-constexpr Duration TimerEarly = 2ms;
+/// A timer may expire some milliseconds early.
+constexpr Duration TimerSlack = 2ms;
 
-/// What waits to be judged goes on without it after as long: a loop that is
-/// busy comes late to its timers.
-constexpr Duration JudgedWithin = 100ms;
+/// A request that waits for an evaluation continues this long after it was due:
+/// a busy event loop runs its timers late.
+constexpr Duration EvaluationSlack = 100ms;
 
-/// Named in one log line.
-constexpr std::size_t MostLogged = 16;
+/// Limit for digests in one log line.
+constexpr std::size_t MaxLoggedDigests = 16;
 
-/// Bars in one frame to a box that has come: 20 KB.
-constexpr std::size_t MostTold = 128;
+/// Limit for quarantines in one frame to a box that has just been linked, which
+/// keeps it below 20 KB.
+constexpr std::size_t MaxEntriesPerFrame = 128;
 
-Json logged(const std::vector<RequestDigest> &Requests) {
+Json loggedDigests(const std::vector<RequestDigest> &Requests) {
   Json Result = Json::array();
   for (const RequestDigest &Each : Requests)
-    if (Result.size() < MostLogged)
+    if (Result.size() < MaxLoggedDigests)
       Result.push_back(Each.str());
   return Result;
 }
@@ -46,27 +50,27 @@
 
 CrashExchange::CrashExchange(EventLoop &Loop, HttpClient &Client,
                              CoordinationStore &Store, Fleet &Boxes,
-                             const ServingView &View, CrashBook &Book,
+                             const ServingView &View, CrashBook &Tracker,
                              DecisionLog &Log, const std::string &Prefix,
                              Hooks Callbacks)
-    : m_Loop(Loop), m_Fleet(Boxes), m_Book(Book), m_Log(Log),
+    : m_Loop(Loop), m_Fleet(Boxes), m_Tracker(Tracker), m_Log(Log),
       m_Hooks(std::move(Callbacks)),
-      m_Watch(Client, View, watchHooks(m_Hooks.m_Watch)),
-      m_Keeper(Store, Log, Prefix) {
-  m_TickTimer = Loop.every(TickEvery, [this] { tick(); });
+      m_Detector(Client, View, detectorHooks(m_Hooks.m_Detector)),
+      m_Quarantine(Store, Log, Prefix) {
+  m_TickTimer = Loop.every(TickInterval, [this] { tick(); });
 }
 
-CrashWatch::Hooks CrashExchange::watchHooks(CrashWatch::Hooks Outer) {
-  Outer.m_Crashed = [this](const UpstreamLife &Server,
-                           const std::set<RequestDigest> &Running) {
-    m_Hooks.m_Asked("ended");
-    crashed(Server, {Running.begin(), Running.end()});
+CrashDetector::Hooks CrashExchange::detectorHooks(CrashDetector::Hooks Outer) {
+  Outer.m_Ended = [this](const UpstreamLife &Upstream,
+                         const std::set<RequestDigest> &Running) {
+    m_Hooks.m_ProbeEnded("ended");
+    reportEnd(Upstream, {Running.begin(), Running.end()});
   };
-  Outer.m_Lives = [this, Lives = std::move(Outer.m_Lives)](
-                      const UpstreamLife &Server, const AnswerFacts &Answer,
-                      TimePoint AskedAt) {
-    m_Hooks.m_Asked("lives");
-    Lives(Server, Answer, AskedAt);
+  Outer.m_NotEnded = [this, Lives = std::move(Outer.m_NotEnded)](
+                         const UpstreamLife &Upstream,
+                         const AnswerFacts &Answer, TimePoint AskedAt) {
+    m_Hooks.m_ProbeEnded("lives");
+    Lives(Upstream, Answer, AskedAt);
     m_Hooks.m_Changed();
   };
   return Outer;
@@ -74,140 +78,146 @@
 
 void CrashExchange::tick() {
   const TimePoint Now = EventLoop::now();
-  askAfterRuns(Now);
+  probeAfterRuns(Now);
   confirmRuns(Now);
-  m_Watch.prune(Now);
-  m_Book.prune(Now);
-  if (m_Hooks.m_Writes())
-    m_Keeper.write(m_Book.bars(), Now);
+  m_Detector.prune(Now);
+  m_Tracker.prune(Now);
+  if (m_Hooks.m_IsWriter())
+    m_Quarantine.reconcile(m_Tracker.bars(), Now);
 }
 
-void CrashExchange::broke(const UpstreamLife &Server,
-                          const std::optional<RequestDigest> &Request) {
-  m_Watch.broke(Server, Request, EventLoop::now());
+void CrashExchange::onConnectionBroken(
+    const UpstreamLife &Upstream, const std::optional<RequestDigest> &Request) {
+  m_Detector.onConnectionBroken(Upstream, Request, EventLoop::now());
 }
 
-void CrashExchange::unreachable(const UpstreamLife &Server) {
+void CrashExchange::onConnectFailed(const UpstreamLife &Upstream) {
   const TimePoint Now = EventLoop::now();
   for (const Run &Each : m_Runs)
-    if (Each.m_Server == Server)
-      m_Watch.broke(Server, Each.m_Request, Now);
+    if (Each.m_Upstream == Upstream)
+      m_Detector.onConnectionBroken(Upstream, Each.m_Request, Now);
 }
 
-void CrashExchange::ranWell(const UpstreamLife &Server,
-                            const RequestDigest &Request) {
-  if (m_Runs.size() >= MostRuns)
+void CrashExchange::onCompleted(const UpstreamLife &Upstream,
+                                const RequestDigest &Request) {
+  if (m_Runs.size() >= MaxRuns)
     m_Runs.pop_front();
   m_Runs.push_back(
-      {.m_Server = Server, .m_Request = Request, .m_At = EventLoop::now()});
+      {.m_Upstream = Upstream, .m_Request = Request, .m_At = EventLoop::now()});
 }
 
-/// Where a run would clear a request that servers ended under, its server is
-/// asked: without other requests nobody might notice that it has ended.
-void CrashExchange::askAfterRuns(TimePoint Now) {
+/// Probes the upstreams of completed runs that would clear a suspicious
+/// request: without other requests nothing might show that the upstream has
+/// crashed.
+void CrashExchange::probeAfterRuns(TimePoint Now) {
   for (Run &Each : m_Runs) {
-    if (Each.m_Asked || Now - Each.m_At < CrashGuard::LivesOnFor / 2 ||
-        !m_Book.suspicious(Each.m_Request, Now))
+    if (Each.m_Probed || Now - Each.m_At < CrashGuard::BlameWindow / 2 ||
+        !m_Tracker.suspicious(Each.m_Request, Now))
       continue;
-    Each.m_Asked = true;
-    m_Watch.broke(Each.m_Server, Each.m_Request, Now);
+    Each.m_Probed = true;
+    m_Detector.onConnectionBroken(Each.m_Upstream, Each.m_Request, Now);
   }
 }
 
-/// A server may end by a request just after it has answered.
+/// Clears requests whose upstreams are still up after the blame window: a
+/// request may crash its upstream shortly after the answer.
 void CrashExchange::confirmRuns(TimePoint Now) {
   while (!m_Runs.empty() &&
-         Now - m_Runs.front().m_At >= CrashGuard::LivesOnFor) {
-    const Run Of = m_Runs.front();
+         Now - m_Runs.front().m_At >= CrashGuard::BlameWindow) {
+    const Run Oldest = m_Runs.front();
     m_Runs.pop_front();
-    if (!m_Watch.mayHaveEnded(Of.m_Server))
-      cleared(Of.m_Request);
+    if (!m_Detector.mayHaveEnded(Oldest.m_Upstream))
+      clear(Oldest.m_Request);
   }
 }
 
-void CrashExchange::cleared(const RequestDigest &Request) {
-  if (!m_Book.ranWell(Request, EventLoop::now()))
+void CrashExchange::clear(const RequestDigest &Request) {
+  if (!m_Tracker.ranWell(Request, EventLoop::now()))
     return;
   m_Log.write("request_cleared",
               {{"digest", Request.str()}, {"by", m_Fleet.self().str()}});
   m_Fleet.sendAll(RanWellFrame{.m_Request = Request});
-  // What was there with it each time is left alone with the blame.
-  judge();
+  // The requests that shared its crashed upstreams become more likely causes.
+  evaluate();
 }
 
-std::optional<Duration> CrashExchange::hold(const RequestDigest &Request,
-                                            TimePoint Now) const {
-  if (const auto JudgedAt = m_Book.judgedAt(Request, Now))
-    return *JudgedAt - Now + JudgedWithin;
-  // One end more, and it would be barred.
-  if (m_Book.suspicious(Request, Now) && m_Watch.asking(Request))
-    return AskedFor;
+std::optional<Duration> CrashExchange::holdTime(const RequestDigest &Request,
+                                                TimePoint Now) const {
+  if (const auto JudgedAt = m_Tracker.judgedAt(Request, Now))
+    return *JudgedAt - Now + EvaluationSlack;
+  // One more crash would quarantine it.
+  if (m_Tracker.suspicious(Request, Now) && m_Detector.probing(Request))
+    return ProbeHold;
   return std::nullopt;
 }
 
-void CrashExchange::crashed(const UpstreamLife &Server,
-                            const std::vector<RequestDigest> &Running) {
+void CrashExchange::reportEnd(const UpstreamLife &Upstream,
+                              const std::vector<RequestDigest> &Running) {
   std::set<RequestDigest> All(Running.begin(), Running.end());
   for (const Run &Each : m_Runs)
-    if (Each.m_Server == Server)
+    if (Each.m_Upstream == Upstream)
       All.insert(Each.m_Request);
-  const CrashFrame Frame{.m_Server = Server,
+  const CrashFrame Frame{.m_Server = Upstream,
                          .m_Running = {All.begin(), All.end()}};
-  m_Log.write("server_ended", {{"upstream", Server.m_Id},
-                               {"born", Server.m_Born},
+  m_Log.write("server_ended", {{"upstream", Upstream.m_Id},
+                               {"born", Upstream.m_Born},
                                {"requests", Frame.m_Running.size()},
-                               {"digests", logged(Frame.m_Running)}});
-  if (heard(Frame))
+                               {"digests", loggedDigests(Frame.m_Running)}});
+  if (recordEnd(Frame))
     m_Fleet.sendRelays(Frame);
   m_Hooks.m_Changed();
 }
 
-/// \returns whether it is new.
-bool CrashExchange::heard(const CrashFrame &Frame) {
+/// Records a crash that this box or a peer has detected. \returns whether it is
+/// new.
+bool CrashExchange::recordEnd(const CrashFrame &Frame) {
   const TimePoint Now = EventLoop::now();
-  const CrashBook::Heard Heard =
-      m_Book.crashed(Frame.m_Server, Frame.m_Running, Now);
-  for (const RequestDigest &Each : Heard.m_RanWell)
+  const CrashBook::Heard Result =
+      m_Tracker.crashed(Frame.m_Server, Frame.m_Running, Now);
+  for (const RequestDigest &Each : Result.m_RanWell)
     m_Fleet.sendAll(RanWellFrame{.m_Request = Each});
-  if (!Heard.m_New)
+  if (!Result.m_New)
     return false;
-  // Leaves hear of no ends; those may know which requests ran well.
+  // Leaves are not told of crashes, but may know which of the requests
+  // completed without harm.
   if (m_Fleet.topology().relay() && !m_Fleet.topology().flat())
-    tellSuspects(Frame.m_Running);
-  judgeLater();
+    sendSuspects(Frame.m_Running);
+  scheduleEvaluation();
   return true;
 }
 
-void CrashExchange::tellSuspects(const std::vector<RequestDigest> &Among) {
+void CrashExchange::sendSuspects(const std::vector<RequestDigest> &Among) {
   CrashSuspectsFrame Frame;
   for (const RequestDigest &Each : Among)
-    if (m_Book.suspicious(Each, EventLoop::now()))
+    if (m_Tracker.suspicious(Each, EventLoop::now()))
       Frame.m_Requests.push_back(Each);
   if (!Frame.m_Requests.empty())
     m_Fleet.sendLeaves(Frame);
 }
 
-void CrashExchange::judgeLater() {
+void CrashExchange::scheduleEvaluation() {
   const TimePoint Now = EventLoop::now();
-  if (const auto At = m_Book.settlesAt(Now))
-    m_JudgeTimer = m_Loop.after(*At - Now + TimerEarly, [this] { judge(); });
+  if (const auto First = m_Tracker.settlesAt(Now))
+    m_EvaluationTimer =
+        m_Loop.after(*First - Now + TimerSlack, [this] { evaluate(); });
 }
 
-void CrashExchange::judge() {
+void CrashExchange::evaluate() {
   const TimePoint Now = EventLoop::now();
-  const std::vector<RequestDigest> Barred = m_Book.judge(m_Fleet.self(), Now);
-  judgeLater();
+  const std::vector<RequestDigest> Barred =
+      m_Tracker.judge(m_Fleet.self(), Now);
+  scheduleEvaluation();
   for (const RequestDigest &Each : Barred)
-    noteBarred(Each, "judged");
+    logQuarantined(Each, "judged");
   if (!Barred.empty())
-    m_Fleet.sendAll(RequestBarsFrame{.m_Bars = toldBars(Barred)});
+    m_Fleet.sendAll(RequestBarsFrame{.m_Bars = quarantineEntries(Barred)});
   m_Hooks.m_Changed();
 }
 
-void CrashExchange::noteBarred(const RequestDigest &Request,
-                               std::string_view How) {
+void CrashExchange::logQuarantined(const RequestDigest &Request,
+                                   std::string_view How) {
   const TimePoint Now = EventLoop::now();
-  const RequestBar *Bar = m_Book.bar(Request, Now);
+  const RequestBar *Bar = m_Tracker.bar(Request, Now);
   if (Bar == nullptr)
     return;
   m_Log.write("request_barred", {{"digest", Request.str()},
@@ -218,12 +228,12 @@
                                  {"for_ms", (Bar->m_Until - Now) / 1ms}});
 }
 
-std::vector<ToldBar>
-CrashExchange::toldBars(const std::vector<RequestDigest> &Of) const {
+std::vector<ToldBar> CrashExchange::quarantineEntries(
+    const std::vector<RequestDigest> &Requests) const {
   const TimePoint Now = EventLoop::now();
   std::vector<ToldBar> Result;
-  for (const RequestDigest &Each : Of)
-    if (const RequestBar *Bar = m_Book.bar(Each, Now))
+  for (const RequestDigest &Each : Requests)
+    if (const RequestBar *Bar = m_Tracker.bar(Each, Now))
       Result.push_back({.m_Request = Each,
                         .m_Servers = Bar->m_Servers,
                         .m_By = Bar->m_By,
@@ -235,26 +245,28 @@
 void CrashExchange::entriesChanged(
     const std::map<std::string, StoreItem> &Items) {
   const TimePoint Now = EventLoop::now();
-  BarKeeper::News News = m_Keeper.entriesChanged(Items);
-  m_Book.letThrough(std::move(News.m_LetThrough));
-  for (auto &[Request, Bar] : News.m_Bars) {
-    // How old it is nobody can tell: the boxes that knew may all have ended.
+  QuarantineStore::Changes Changes = m_Quarantine.entriesChanged(Items);
+  m_Tracker.letThrough(std::move(Changes.m_Released));
+  for (auto &[Request, Bar] : Changes.m_Added) {
+    // The age of the quarantine is unknown: the boxes that knew it may all have
+    // stopped.
     Bar.m_Since = Now;
     Bar.m_Until = TimePoint::max();
-    if (m_Book.adopt(Request, Bar, Now))
-      noteBarred(Request, "stored");
+    if (m_Tracker.adopt(Request, Bar, Now))
+      logQuarantined(Request, "stored");
   }
   m_Hooks.m_Changed();
 }
 
 void CrashExchange::linkUp(const BoxName &Box) {
   std::vector<RequestDigest> All;
-  for (const auto &[Request, Bar] : m_Book.bars())
+  for (const auto &[Request, Bar] : m_Tracker.bars())
     All.push_back(Request);
-  std::vector<ToldBar> Bars = toldBars(All);
-  for (std::size_t At = 0; At < Bars.size(); At += MostTold) {
-    const auto From = Bars.begin() + static_cast<std::ptrdiff_t>(At);
-    const auto Count = std::min(MostTold, Bars.size() - At);
+  std::vector<ToldBar> Bars = quarantineEntries(All);
+  for (std::size_t First = 0; First < Bars.size();
+       First += MaxEntriesPerFrame) {
+    const auto From = Bars.begin() + static_cast<std::ptrdiff_t>(First);
+    const auto Count = std::min(MaxEntriesPerFrame, Bars.size() - First);
     m_Fleet.send(
         Box, RequestBarsFrame{
                  .m_Bars = {From, From + static_cast<std::ptrdiff_t>(Count)}});
@@ -264,52 +276,54 @@
 void CrashExchange::onFrame(const BoxName &From, const PeerFrame &Frame) {
   std::visit(
       [&](const auto &Each) {
-        if constexpr (requires { take(From, Each); })
-          take(From, Each);
+        if constexpr (requires { receive(From, Each); })
+          receive(From, Each);
       },
       Frame);
 }
 
-void CrashExchange::take(const BoxName &From, const CrashFrame &Frame) {
-  if (!heard(Frame))
+void CrashExchange::receive(const BoxName &From, const CrashFrame &Frame) {
+  if (!recordEnd(Frame))
     return;
-  m_Watch.heardOfEnd(Frame.m_Server);
+  m_Detector.onEndReported(Frame.m_Server);
   const FleetTopology &Topology = m_Fleet.topology();
   if (Topology.relay() && !Topology.flat() && !Topology.isRelay(From))
     m_Fleet.sendRelays(Frame, From);
   m_Hooks.m_Changed();
 }
 
-void CrashExchange::take(const BoxName &, const CrashSuspectsFrame &Frame) {
+void CrashExchange::receive(const BoxName &, const CrashSuspectsFrame &Frame) {
   const TimePoint Now = EventLoop::now();
   for (const RequestDigest &Each : Frame.m_Requests)
-    if (m_Book.suspected(Each, Now))
+    if (m_Tracker.suspected(Each, Now))
       m_Fleet.sendAll(RanWellFrame{.m_Request = Each});
 }
 
-void CrashExchange::take(const BoxName &From, const RanWellFrame &Frame) {
-  if (!m_Book.ranWell(Frame.m_Request, EventLoop::now()))
+void CrashExchange::receive(const BoxName &From, const RanWellFrame &Frame) {
+  if (!m_Tracker.ranWell(Frame.m_Request, EventLoop::now()))
     return;
   m_Log.write("request_cleared",
               {{"digest", Frame.m_Request.str()}, {"by", From.str()}});
   m_Fleet.passOn(Frame, From);
-  judge();
+  evaluate();
 }
 
-void CrashExchange::take(const BoxName &From, const RequestBarsFrame &Frame) {
+void CrashExchange::receive(const BoxName &From,
+                            const RequestBarsFrame &Frame) {
   const TimePoint Now = EventLoop::now();
   RequestBarsFrame New;
   for (const ToldBar &Each : Frame.m_Bars) {
-    // Who was cut off as the bar was lifted would keep it up.
-    if (m_Book.pardoned(Each.m_Request))
+    // A box that was disconnected when the quarantine was lifted would
+    // otherwise bring it back.
+    if (m_Tracker.pardoned(Each.m_Request))
       m_Fleet.send(From, RanWellFrame{.m_Request = Each.m_Request});
     const RequestBar Bar{.m_Servers = Each.m_Servers,
                          .m_By = Each.m_By,
                          .m_Since = Now - Each.m_Age,
                          .m_Until = Now + Each.m_Left};
-    if (!m_Book.adopt(Each.m_Request, Bar, Now))
+    if (!m_Tracker.adopt(Each.m_Request, Bar, Now))
       continue;
-    noteBarred(Each.m_Request, "told");
+    logQuarantined(Each.m_Request, "told");
     New.m_Bars.push_back(Each);
   }
   if (New.m_Bars.empty())
--- a/packages/gateway/process/CrashExchange.h
+++ b/packages/gateway/process/CrashExchange.h
@@ -1,12 +1,12 @@
 /// \file
-/// How boxes find the requests that end servers together.
+/// Shares between boxes which requests were running on crashed upstreams.
 /// See docs/design/crashing-requests.md.
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_CRASHEXCHANGE_H
 #define HAVENSTAIR_GATEWAY_PROCESS_CRASHEXCHANGE_H
 
-#include "gateway/process/BarKeeper.h"
-#include "gateway/process/CrashWatch.h"
-#include "gateway/request/CrashDesk.h"
+#include "gateway/process/CrashDetector.h"
+#include "gateway/process/QuarantineStore.h"
+#include "gateway/request/CrashService.h"
 #include "wire/common/EventLoop.h"
 #include "wire/connection/PeerFrames.h"
 #include <deque>
@@ -21,79 +21,86 @@
 class DecisionLog;
 class Fleet;
 
-/// All relays hear which requests were on an ended server, and each judges for
-/// itself. Bars, and that a suspected request ran well, go to all boxes. What
-/// must outlive them is in the store.
-class CrashExchange : public CrashDesk {
+/// Finds the requests that crash upstreams, together with the other boxes, and
+/// quarantines them. All relays receive which requests were running on a
+/// crashed upstream, and each evaluates that for itself. Quarantines, and that
+/// a suspected request completed without harm, are sent to all boxes.
+/// Quarantines are also kept in the store, to survive a restart of all boxes.
+class CrashExchange : public CrashService {
 public:
   struct Hooks {
-    CrashWatch::Hooks m_Watch; ///< Without m_Crashed.
-    /// Requests that wait may go on, and barred ones are to end.
+    CrashDetector::Hooks m_Detector; ///< m_Ended is set by the exchange.
+    /// Called when waiting requests may continue and quarantined ones have to
+    /// end.
     std::function<void()> m_Changed;
-    /// A server was asked after its connection broke; \p What it turned out to
-    /// be: "ended" or "lives".
-    std::function<void(std::string_view What)> m_Asked;
-    /// Whether this box writes what the store keeps.
-    std::function<bool()> m_Writes;
+    /// Called after an upstream whose connection broke has been probed. \p What
+    /// is the result: "ended" or "lives".
+    std::function<void(std::string_view What)> m_ProbeEnded;
+    /// \returns whether this box writes the quarantines to the store.
+    std::function<bool()> m_IsWriter;
   };
 
   CrashExchange(EventLoop &Loop, HttpClient &Client, CoordinationStore &Store,
-                Fleet &Boxes, const ServingView &View, CrashBook &Book,
+                Fleet &Boxes, const ServingView &View, CrashBook &Tracker,
                 DecisionLog &Log, const std::string &Prefix, Hooks Callbacks);
 
-  void broke(const UpstreamLife &Server,
-             const std::optional<RequestDigest> &Request) override;
-  void unreachable(const UpstreamLife &Server) override;
-  void ranWell(const UpstreamLife &Server,
-               const RequestDigest &Request) override;
-  std::optional<Duration> hold(const RequestDigest &Request,
-                               TimePoint Now) const override;
+  void onConnectionBroken(const UpstreamLife &Upstream,
+                          const std::optional<RequestDigest> &Request) override;
+  void onConnectFailed(const UpstreamLife &Upstream) override;
+  void onCompleted(const UpstreamLife &Upstream,
+                   const RequestDigest &Request) override;
+  std::optional<Duration> holdTime(const RequestDigest &Request,
+                                   TimePoint Now) const override;
 
-  /// The list of servers has changed.
-  void listed() { m_Watch.listed(EventLoop::now()); }
-  /// The store's keys have changed; \p Items are those of the whole prefix.
+  /// Called when the list of upstreams has changed.
+  void onListChanged() { m_Detector.onListChanged(EventLoop::now()); }
+  /// Called when the store's keys have changed. \p Items are all keys
+  /// under the gateway's prefix.
   void entriesChanged(const std::map<std::string, StoreItem> &Items);
-  /// A box that has just come may know nothing.
+  /// Sends all quarantines to \p Box, which has just been linked and may know
+  /// none.
   void linkUp(const BoxName &Box);
+  /// Handles the crash frames among those that \p From sends.
   void onFrame(const BoxName &From, const PeerFrame &Frame);
 
 private:
-  CrashWatch::Hooks watchHooks(CrashWatch::Hooks Outer);
-  /// A run whose server may yet turn out to have ended by it.
+  CrashDetector::Hooks detectorHooks(CrashDetector::Hooks Outer);
+  /// A completed request whose upstream may still crash because of it.
   struct Run {
-    UpstreamLife m_Server;
+    UpstreamLife m_Upstream;
     RequestDigest m_Request;
-    TimePoint m_At{};
-    bool m_Asked = false; ///< Whether the server lives on.
+    TimePoint m_At{};      ///< When the request completed.
+    bool m_Probed = false; ///< The upstream has been probed since.
   };
 
   void tick();
-  void askAfterRuns(TimePoint Now);
+  void probeAfterRuns(TimePoint Now);
   void confirmRuns(TimePoint Now);
-  void cleared(const RequestDigest &Request);
-  void crashed(const UpstreamLife &Server,
-               const std::vector<RequestDigest> &Running);
-  bool heard(const CrashFrame &Frame);
-  void tellSuspects(const std::vector<RequestDigest> &Among);
-  void judgeLater();
-  void judge();
-  void noteBarred(const RequestDigest &Request, std::string_view How);
-  std::vector<ToldBar> toldBars(const std::vector<RequestDigest> &Of) const;
+  void clear(const RequestDigest &Request);
+  void reportEnd(const UpstreamLife &Upstream,
+                 const std::vector<RequestDigest> &Running);
+  bool recordEnd(const CrashFrame &Frame);
+  void sendSuspects(const std::vector<RequestDigest> &Among);
+  void scheduleEvaluation();
+  void evaluate();
+  void logQuarantined(const RequestDigest &Request, std::string_view How);
+  std::vector<ToldBar>
+  quarantineEntries(const std::vector<RequestDigest> &Requests) const;
 
-  void take(const BoxName &From, const CrashFrame &Frame);
-  void take(const BoxName &From, const CrashSuspectsFrame &Frame);
-  void take(const BoxName &From, const RanWellFrame &Frame);
-  void take(const BoxName &From, const RequestBarsFrame &Frame);
+  void receive(const BoxName &From, const CrashFrame &Frame);
+  void receive(const BoxName &From, const CrashSuspectsFrame &Frame);
+  void receive(const BoxName &From, const RanWellFrame &Frame);
+  void receive(const BoxName &From, const RequestBarsFrame &Frame);
 
   EventLoop &m_Loop;
   Fleet &m_Fleet;
-  CrashBook &m_Book;
+  CrashBook &m_Tracker;
   DecisionLog &m_Log;
   Hooks m_Hooks;
-  CrashWatch m_Watch;
-  BarKeeper m_Keeper;
-  std::deque<Run> m_Runs; ///< The oldest first.
-  Timer m_JudgeTimer;
+  CrashDetector m_Detector;
+  QuarantineStore m_Quarantine;
+  std::deque<Run> m_Runs; ///< From the oldest to the newest.
+  Timer m_EvaluationTimer;
   Timer m_TickTimer;
 };
 
--- a/packages/gateway/process/Gateway.cpp
+++ b/packages/gateway/process/Gateway.cpp
@@ -77,7 +77,7 @@
           MeteredStore::Hooks{
               .m_Called =
                   [this](auto Call, auto Subject) {
-                    m_Metrics.storeCalled(Call, Subject);
+                    m_Metrics.recordStoreCall(Call, Subject);
                     m_StoreCalls.called(Call, Subject);
                   },
               .m_Reached =
@@ -85,9 +85,9 @@
       m_Engines(std::make_unique<ObservedEngines>(
           m_Binding.m_MakeEngines(m_UpstreamHttp),
           [this](const auto &Of, const auto &Report, TimePoint AskedAt) {
-            m_Permits->heard(Of.m_Id, Report.m_ColdFor, AskedAt);
+            m_Permits->reportCold(Of.m_Id, Report.m_ColdFor, AskedAt);
             if (Report.m_Leaving)
-              m_Words->heardLeaving(Of.life());
+              m_Words->recordLeaving(Of.life());
           })),
       m_Forwarder(
           Loop, m_UpstreamHttp, m_State, m_Binding.m_Dialect, m_Log,
@@ -96,16 +96,16 @@
                [this](const ModelKey &Key) { m_Exchange.missing(Key); },
            .m_Ended =
                [this](const RequestResult &Result) {
-                 m_Metrics.ended(Result);
+                 m_Metrics.recordRequest(Result);
                  if (!m_State.m_Upstreams.evacuations().m_DataCentres.empty())
-                   m_Metrics.endedInEvacuation(Result.m_Outcome);
+                   m_Metrics.recordRequestInEvacuation(Result.m_Outcome);
                },
            .m_SendEnded =
                [this](std::string_view Outcome) {
-                 m_Metrics.sendEnded(Outcome);
+                 m_Metrics.recordSend(Outcome);
                },
            .m_MayTrustKeys = [this] { return mayTrustKeys(); },
-           .m_ConfigVouch =
+           .m_ConfigFreshness =
                [this](TimePoint Now) {
                  return m_Exchange.lists().configVouch(Now);
                },
@@ -141,7 +141,7 @@
                    },
                .m_Ordered =
                    [this](std::string_view Operation, std::string_view Answer) {
-                     m_Metrics.ordered(Operation, Answer);
+                     m_Metrics.recordOrder(Operation, Answer);
                    },
                .m_HolderRead = [this] { return m_OwnMirror.confirmedAt(); },
                .m_Random = [this] { return drawUnit(m_Random); }}),
@@ -165,31 +165,31 @@
       m_Quotas(std::make_shared<QuotaExchange>(
           Loop, m_Fleet, m_Log, m_Options.m_Bounds.quotaTolerance(),
           QuotaExchange::Hooks{
-              .m_Leaves = [this] { return m_Exchange.leaves(); }})),
+              .m_LeafCount = [this] { return m_Exchange.leaves(); }})),
       m_Permits(std::make_shared<PermitExchange>(
           Loop, m_Fleet,
           PermitExchange::Views{.m_WarmUp = m_State.m_WarmUp,
-                                .m_Words = m_State.m_Words,
+                                .m_Signals = m_State.m_Words,
                                 .m_Bounds = m_State.m_SendBounds},
           m_Log, m_Options.m_Bounds.m_WarmUp,
           PermitExchange::Hooks{
-              .m_Asked =
+              .m_PermitDecided =
                   [this](const auto &At, bool Limited, auto What) {
-                    m_Metrics.permitAsked(At, Limited, What);
+                    m_Metrics.recordPermit(At, Limited, What);
                   },
-              .m_Needless =
+              .m_UnknownBound =
                   [this](const BoxName &Box, const InstanceId &Server) {
-                    m_Words->tellNoLimit(Box, m_State.m_WarmUp.life(Server));
+                    m_Words->sendNoLimit(Box, m_State.m_WarmUp.life(Server));
                   }})),
       m_Crashes(std::make_shared<CrashExchange>(
           Loop, m_UpstreamHttp, *m_Store, m_Fleet, m_State.m_Upstreams,
           m_State.m_Crashes, m_Log, m_Binding.m_OwnPrefix, crashHooks())),
-      m_Words(std::make_shared<ServerWordExchange>(
+      m_Words(std::make_shared<UpstreamSignalExchange>(
           Loop, m_Fleet, m_State.m_Upstreams, m_State.m_Words, m_Log,
-          ServerWordExchange::Hooks{
+          UpstreamSignalExchange::Hooks{
               .m_LimitsChanged = [this] { m_Permits->refreshRole(); },
-              .m_Leaves = [this] { serverLeaves(); }})) {
-  m_Forwarder.setDesks(m_Quotas, m_Permits, m_Crashes, m_Words);
+              .m_UpstreamLeaving = [this] { serverLeaves(); }})) {
+  m_Forwarder.setServices(m_Quotas, m_Permits, m_Crashes, m_Words);
   m_State.standsIn(m_Options.m_DataCentre, m_Options.m_Regions);
   applyBounds();
   startServers();
@@ -242,27 +242,28 @@
 }
 
 CrashExchange::Hooks Gateway::crashHooks() {
-  return {.m_Watch = {.m_Question =
-                          [this](const UpstreamInstance &At) {
-                            return healthCall(
-                                At, m_State.m_Config->service(At.m_Service),
-                                Forwarder::Options{}.m_ConnectTimeout);
-                          },
-                      .m_ReadAnswer = m_Binding.m_Dialect.m_ReadAnswer,
-                      // It may have started again and be cold, and this word
-                      // comes before the list's.
-                      .m_Lives =
-                          [this](const UpstreamLife &Server,
-                                 const AnswerFacts &Answer, TimePoint AskedAt) {
-                            if (Answer.m_ColdFor)
-                              m_Permits->heard(Server.m_Id, *Answer.m_ColdFor,
-                                               AskedAt);
-                            if (Answer.m_Leaving)
-                              m_Words->heardLeaving(Server);
-                          }},
-          .m_Changed = [this] { m_Forwarder.crashesChanged(); },
-          .m_Asked = [this](auto What) { m_Metrics.serverAsked(What); },
-          .m_Writes = [this] { return m_Giver.giving(); }};
+  return {
+      .m_Detector = {.m_Probe =
+                         [this](const UpstreamInstance &At) {
+                           return healthCall(
+                               At, m_State.m_Config->service(At.m_Service),
+                               Forwarder::Options{}.m_ConnectTimeout);
+                         },
+                     .m_ReadAnswer = m_Binding.m_Dialect.m_ReadAnswer,
+                     // It may have started again and be cold, and this word
+                     // comes before the list's.
+                     .m_NotEnded =
+                         [this](const UpstreamLife &Server,
+                                const AnswerFacts &Answer, TimePoint AskedAt) {
+                           if (Answer.m_ColdFor)
+                             m_Permits->reportCold(Server.m_Id,
+                                                   *Answer.m_ColdFor, AskedAt);
+                           if (Answer.m_Leaving)
+                             m_Words->recordLeaving(Server);
+                         }},
+      .m_Changed = [this] { m_Forwarder.crashesChanged(); },
+      .m_ProbeEnded = [this](auto What) { m_Metrics.recordProbe(What); },
+      .m_IsWriter = [this] { return m_Giver.giving(); }};
 }
 
 void Gateway::ownKeysChanged() {
@@ -311,7 +312,7 @@
   if (m_State.m_Stopping && EventLoop::now() >= m_LeaveAt)
     return m_Forwarder.refuse(Exchange,
                               {.m_Kind = ErrorKind::Stopping,
-                               .m_RetryAfter = Forwarder::StoppingAway});
+                               .m_RetryAfter = Forwarder::StoppingRetryAfter});
   m_Forwarder.handle(Exchange);
 }
 
@@ -323,7 +324,7 @@
   Now.m_OpenRequests = Number(m_Forwarder.open());
   Now.m_ConfigVersion = Number(m_State.configVersion());
   const ListFollower &Lists = m_Exchange.lists();
-  Now.m_ConfigTold = Number(Lists.config().newest().m_Version);
+  Now.m_ConfigAnnounced = Number(Lists.config().newest().m_Version);
   Now.m_ConfigAge = inSeconds(Lists.configVouch(EventLoop::now()).m_Age);
   Now.m_ConfigBehind = inSeconds(Lists.config().behind(EventLoop::now()));
   Now.m_ListRevision = Number(m_State.m_Upstreams.list().m_Revision);
@@ -339,12 +340,13 @@
   }
   Now.m_FramesSkipped = Number(m_Fleet.skipped());
   Now.m_StoreReached = m_Exchange.storeJustReached() ? 1 : 0;
-  Now.m_GivesOrders = m_Giver.giving() ? 1 : 0;
+  Now.m_IsOrderLeader = m_Giver.giving() ? 1 : 0;
   Now.m_FencingToken = Number(m_Giver.holder().m_Token);
-  Now.m_LogLinesLeftOut = Number(m_Log.leftOut());
-  Now.m_BarredRequests = Number(m_State.m_Crashes.bars().size());
-  Now.m_BackedOffServers = Number(m_State.m_Words.backedOff(EventLoop::now()));
-  Now.m_LimitedServers = Number(m_State.m_Words.limits().size());
+  Now.m_DroppedLogLines = Number(m_Log.droppedLines());
+  Now.m_QuarantinedRequests = Number(m_State.m_Crashes.bars().size());
+  Now.m_BackedOffUpstreams =
+      Number(m_State.m_Words.backedOff(EventLoop::now()));
+  Now.m_LimitedUpstreams = Number(m_State.m_Words.limits().size());
   Now.m_Cold = m_State.m_WarmUp.coldByDataCentre(EventLoop::now());
   m_Metrics.set(Now);
   Exchange->reply(200, {{"Content-Type", "text/plain; version=0.0.4"}},
@@ -366,7 +368,7 @@
   m_Permits->setTolerance(Bounds.m_WarmUp);
   m_Exchange.lists().watchConfigClosely(Bounds.m_FailClosed);
   // A box that serves when operators begin to evacuate goes on meanwhile.
-  const bool Evacuates = Bounds.m_Evacuation.has_value();
+  const bool Evacuates = Bounds.m_EvacuationDelay.has_value();
   m_State.m_NeedsEvacuations =
       Evacuates && (m_State.m_NeedsEvacuations || !m_State.knowsAll());
   m_Exchange.lists().followEvacuations(Evacuates);
@@ -388,7 +390,7 @@
   const ServingBounds &Bounds = m_Options.m_Bounds;
   return !Bounds.m_FailClosed ||
          EventLoop::now() - m_Exchange.lists().configAsOf() <=
-             Bounds.m_Revocation;
+             Bounds.m_RevocationDelay;
 }
 
 void Gateway::reload() {
@@ -407,7 +409,7 @@
 
 void Gateway::logConfigRead(const PrefixMirror::ReadEnd &End) {
   const char *Outcome = toString(End.m_Status);
-  m_Metrics.configRead(Outcome);
+  m_Metrics.recordConfigRead(Outcome);
   m_Log.write("config_read", {{"kind", toString(End.m_Kind)},
                               {"outcome", Outcome},
                               {"took_ms", End.m_Took / 1ms},
@@ -421,7 +423,7 @@
   const ConfigPursuit::Told &Known = m_Exchange.lists().config().newest();
   const bool Told = Known.m_Version >= Read.m_Version;
   const char *Source = toString(m_ConfigMirror.source());
-  m_Metrics.configTaken(Source);
+  m_Metrics.recordConfigAdoption(Source);
   m_Log.write("config",
               {{"version", Read.m_Version},
                {"before", m_State.configVersion()},
@@ -452,7 +454,7 @@
                  {"held_ms", (EventLoop::now() - Began) / 1ms}});
     return true;
   } catch (const DecodeError &Error) {
-    m_Metrics.configTaken("unreadable");
+    m_Metrics.recordConfigAdoption("unreadable");
     m_Log.write("bad_config", {{"key", Item.m_Key}, {"why", Error.what()}});
     return false;
   }
@@ -464,7 +466,7 @@
       m_Exchange.configChanged();
   m_Permits->refreshRole();
   m_Forwarder.upstreamsChanged();
-  m_Forwarder.releaseEarly();
+  m_Forwarder.releaseStartupQueue();
 }
 
 InstanceList Gateway::readUpstreams() {
@@ -488,8 +490,8 @@
       m_UpstreamHttp.forget(*Address);
   }
   m_State.m_Words.listed(m_State.m_Upstreams.list(), EventLoop::now());
-  m_Permits->listed(m_State.m_Upstreams.list());
-  m_Crashes->listed();
+  m_Permits->onListChanged(m_State.m_Upstreams.list());
+  m_Crashes->onListChanged();
   m_Log.write("upstreams",
               {{"revision", m_UpstreamMirror.revision()},
                {"listed", m_Registry.size()},
@@ -500,7 +502,7 @@
   m_Exchange.upstreamsChanged();
   m_Giver.upstreamsChanged();
   m_Forwarder.upstreamsChanged();
-  m_Forwarder.releaseEarly();
+  m_Forwarder.releaseStartupQueue();
 }
 
 /// A server said so itself.
@@ -541,7 +543,7 @@
       m_State.m_WarmUp.suspectAt(Each, Now);
   m_Giver.evacuationsChanged(Now);
   m_Forwarder.upstreamsChanged();
-  m_Forwarder.releaseEarly();
+  m_Forwarder.releaseStartupQueue();
 }
 
 void Gateway::stop() {
@@ -554,7 +556,7 @@
   m_Callers->closeAfterAnswers();
   // Those that wait for a load go elsewhere at once.
   m_Forwarder.upstreamsChanged();
-  m_Forwarder.releaseEarly();
+  m_Forwarder.releaseStartupQueue();
   m_Giver.leave();
   m_Fleet.leave();
   m_Log.write("stopping", {{"open", m_Forwarder.open()}});
--- a/packages/gateway/process/Gateway.h
+++ b/packages/gateway/process/Gateway.h
@@ -15,10 +15,10 @@
 #include "gateway/process/PlatformBinding.h"
 #include "gateway/process/PrefixMirror.h"
 #include "gateway/process/QuotaExchange.h"
-#include "gateway/process/ServerWordExchange.h"
 #include "gateway/process/ServingState.h"
 #include "gateway/process/StoreCallLog.h"
 #include "gateway/process/UpstreamRegistry.h"
+#include "gateway/process/UpstreamSignalExchange.h"
 #include "gateway/request/Forwarder.h"
 #include "wire/common/EventLoop.h"
 #include "wire/common/HttpClient.h"
@@ -119,7 +119,7 @@
   std::shared_ptr<QuotaExchange> m_Quotas;
   std::shared_ptr<PermitExchange> m_Permits;
   std::shared_ptr<CrashExchange> m_Crashes;
-  std::shared_ptr<ServerWordExchange> m_Words;
+  std::shared_ptr<UpstreamSignalExchange> m_Words;
   std::unique_ptr<HttpServer> m_Callers;
   std::unique_ptr<HttpServer> m_Readiness;
   std::unique_ptr<HttpServer> m_MetricsServer;
--- a/packages/gateway/process/GatewayMetrics.cpp
+++ b/packages/gateway/process/GatewayMetrics.cpp
@@ -12,10 +12,11 @@
 
 namespace {
 
-/// Routes, and organisations, that have labels of their own.
-constexpr std::size_t MostLabels = 64;
+/// Limit for routes, organisations and data centres with a label value of their
+/// own.
+constexpr std::size_t MaxLabelValues = 64;
 
-const prometheus::Histogram::BucketBoundaries Seconds{
+const prometheus::Histogram::BucketBoundaries LatencyBuckets{
     0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 5, 10, 20};
 
 } // namespace
@@ -115,10 +116,10 @@
   std::set<std::string> m_Routes;
   std::set<std::string> m_Organisations;
 
-  /// \p Name, or "other" where there are too many of the kind.
+  /// \returns \p Name, or "other" if \p Known has reached its limit.
   static std::string label(std::set<std::string> &Known,
                            const std::string &Name) {
-    if (Known.size() < MostLabels)
+    if (Known.size() < MaxLabelValues)
       Known.insert(Name);
     return Known.contains(Name) ? Name : "other";
   }
@@ -131,7 +132,7 @@
 GatewayMetrics::GatewayMetrics() : m_Families(std::make_unique<Families>()) {}
 GatewayMetrics::~GatewayMetrics() = default;
 
-void GatewayMetrics::ended(const RequestResult &Result) {
+void GatewayMetrics::recordRequest(const RequestResult &Result) {
   const std::string Route =
       Families::label(m_Families->m_Routes, Result.m_Route);
   if (!Result.m_Organisation.empty())
@@ -144,31 +145,31 @@
       .Add({{"route", Route}, {"outcome", std::string(Result.m_Outcome)}})
       .Increment();
   if (Result.m_FirstByte > 0us)
-    m_Families->m_FirstByte.Add({{"route", Route}}, Seconds)
+    m_Families->m_FirstByte.Add({{"route", Route}}, LatencyBuckets)
         .Observe(inSeconds(Result.m_FirstByte));
-  m_Families->m_Whole.Add({{"route", Route}}, Seconds)
+  m_Families->m_Whole.Add({{"route", Route}}, LatencyBuckets)
       .Observe(inSeconds(Result.m_Whole));
 }
 
-void GatewayMetrics::endedInEvacuation(std::string_view Outcome) {
+void GatewayMetrics::recordRequestInEvacuation(std::string_view Outcome) {
   m_Families->m_InEvacuation.Add({{"outcome", std::string(Outcome)}})
       .Increment();
 }
 
-void GatewayMetrics::sendEnded(std::string_view Outcome) {
+void GatewayMetrics::recordSend(std::string_view Outcome) {
   m_Families->m_Sends.Add({{"outcome", std::string(Outcome)}}).Increment();
 }
 
-void GatewayMetrics::ordered(std::string_view Operation,
-                             std::string_view Answer) {
+void GatewayMetrics::recordOrder(std::string_view Operation,
+                                 std::string_view Answer) {
   m_Families->m_Orders
       .Add({{"operation", std::string(Operation)},
             {"answer", std::string(Answer)}})
       .Increment();
 }
 
-void GatewayMetrics::permitAsked(const DataCentreName &At, bool Limited,
-                                 std::string_view Answer) {
+void GatewayMetrics::recordPermit(const DataCentreName &At, bool Limited,
+                                  std::string_view Answer) {
   m_Families->m_Permits
       .Add({{"data_centre",
              Families::label(m_Families->m_DataCentres, At.str())},
@@ -177,62 +178,62 @@
       .Increment();
 }
 
-void GatewayMetrics::serverAsked(std::string_view What) {
+void GatewayMetrics::recordProbe(std::string_view What) {
   m_Families->m_ServersAsked.Add({{"what", std::string(What)}}).Increment();
 }
 
-void GatewayMetrics::storeCalled(std::string_view Call,
-                                 std::string_view Subject) {
+void GatewayMetrics::recordStoreCall(std::string_view Call,
+                                     std::string_view Subject) {
   m_Families->m_StoreCalls
       .Add({{"call", std::string(Call)}, {"prefix", std::string(Subject)}})
       .Increment();
 }
 
-void GatewayMetrics::configTaken(std::string_view Source) {
+void GatewayMetrics::recordConfigAdoption(std::string_view Source) {
   m_Families->m_ConfigsTaken.Add({{"source", std::string(Source)}}).Increment();
 }
 
-void GatewayMetrics::configRead(std::string_view Outcome) {
+void GatewayMetrics::recordConfigRead(std::string_view Outcome) {
   m_Families->m_ConfigReads.Add({{"outcome", std::string(Outcome)}})
       .Increment();
 }
 
-void GatewayMetrics::set(const GatewayGauges &Now) {
-  m_Families->state("open_requests", Now.m_OpenRequests);
-  m_Families->state("config_version", Now.m_ConfigVersion);
-  m_Families->state("config_told", Now.m_ConfigTold);
-  m_Families->state("config_age_seconds", Now.m_ConfigAge);
-  m_Families->state("config_behind_seconds", Now.m_ConfigBehind);
-  m_Families->state("list_revision", Now.m_ListRevision);
-  m_Families->state("upstreams_listed", Now.m_Listed);
-  m_Families->state("upstreams", Now.m_Upstreams);
-  m_Families->state("peers", Now.m_Peers);
-  m_Families->state("evacuated_data_centres", Now.m_Evacuated);
-  m_Families->state("store_reached", Now.m_StoreReached);
-  m_Families->state("gives_orders", Now.m_GivesOrders);
-  m_Families->state("fencing_token", Now.m_FencingToken);
-  m_Families->state("log_lines_left_out", Now.m_LogLinesLeftOut);
-  m_Families->state("barred_requests", Now.m_BarredRequests);
-  m_Families->state("limited_servers", Now.m_LimitedServers);
-  m_Families->state("backed_off_servers", Now.m_BackedOffServers);
-  m_Families->state("frames_skipped", Now.m_FramesSkipped);
-  for (const auto &[Kind, Frames] : Now.m_PeerFrames)
+void GatewayMetrics::set(const GatewayGauges &Gauges) {
+  m_Families->state("open_requests", Gauges.m_OpenRequests);
+  m_Families->state("config_version", Gauges.m_ConfigVersion);
+  m_Families->state("config_told", Gauges.m_ConfigAnnounced);
+  m_Families->state("config_age_seconds", Gauges.m_ConfigAge);
+  m_Families->state("config_behind_seconds", Gauges.m_ConfigBehind);
+  m_Families->state("list_revision", Gauges.m_ListRevision);
+  m_Families->state("upstreams_listed", Gauges.m_Listed);
+  m_Families->state("upstreams", Gauges.m_Upstreams);
+  m_Families->state("peers", Gauges.m_Peers);
+  m_Families->state("evacuated_data_centres", Gauges.m_Evacuated);
+  m_Families->state("store_reached", Gauges.m_StoreReached);
+  m_Families->state("gives_orders", Gauges.m_IsOrderLeader);
+  m_Families->state("fencing_token", Gauges.m_FencingToken);
+  m_Families->state("log_lines_left_out", Gauges.m_DroppedLogLines);
+  m_Families->state("barred_requests", Gauges.m_QuarantinedRequests);
+  m_Families->state("limited_servers", Gauges.m_LimitedUpstreams);
+  m_Families->state("backed_off_servers", Gauges.m_BackedOffUpstreams);
+  m_Families->state("frames_skipped", Gauges.m_FramesSkipped);
+  for (const auto &[Kind, Frames] : Gauges.m_PeerFrames)
     m_Families->m_PeerFrames.Add({{"kind", std::string(Kind)}}).Set(Frames);
-  for (const auto &[Kind, Bytes] : Now.m_PeerBytes)
+  for (const auto &[Kind, Bytes] : Gauges.m_PeerBytes)
     m_Families->m_PeerBytes.Add({{"kind", std::string(Kind)}}).Set(Bytes);
-  for (const auto &[Protocol, Boxes] : Now.m_Protocols)
+  for (const auto &[Protocol, Boxes] : Gauges.m_Protocols)
     m_Families->m_KnownProtocols.insert(Protocol);
   for (int Each : m_Families->m_KnownProtocols) {
-    const auto Found = Now.m_Protocols.find(Each);
+    const auto Found = Gauges.m_Protocols.find(Each);
     m_Families->m_Protocols.Add({{"protocol", std::to_string(Each)}})
-        .Set(Found == Now.m_Protocols.end() ? 0 : Found->second);
+        .Set(Found == Gauges.m_Protocols.end() ? 0 : Found->second);
   }
-  for (const auto &[DataCentre, Count] : Now.m_Cold)
+  for (const auto &[DataCentre, Count] : Gauges.m_Cold)
     Families::label(m_Families->m_DataCentres, DataCentre.str());
   for (const std::string &Each : m_Families->m_DataCentres) {
-    const auto Found = Now.m_Cold.find(DataCentreName(Each));
+    const auto Found = Gauges.m_Cold.find(DataCentreName(Each));
     m_Families->m_Cold.Add({{"data_centre", Each}})
-        .Set(Found == Now.m_Cold.end() ? 0 : Found->second);
+        .Set(Found == Gauges.m_Cold.end() ? 0 : Found->second);
   }
 }
 
--- a/packages/gateway/process/GatewayMetrics.h
+++ b/packages/gateway/process/GatewayMetrics.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a gateway counts and measures, in the Prometheus text format.
+/// Metrics of a gateway, in the Prometheus text format.
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_GATEWAYMETRICS_H
 #define HAVENSTAIR_GATEWAY_PROCESS_GATEWAYMETRICS_H
 
@@ -14,62 +14,68 @@
 
 struct RequestResult;
 
-/// State that is read when the figures are asked for.
+/// State that is sampled when the metrics page is requested.
 struct GatewayGauges {
   double m_OpenRequests = 0;
   double m_ConfigVersion = 0;
-  double m_ConfigTold = 0;   ///< Newest version that another box told of.
-  double m_ConfigAge = 0;    ///< Seconds since it was surely the store's.
-  double m_ConfigBehind = 0; ///< Seconds since a newer one was told of.
+  double m_ConfigAnnounced = 0; ///< Newest version that a peer announced.
+  /// Seconds since the configuration was confirmed to be the store's.
+  double m_ConfigAge = 0;
+  double m_ConfigBehind = 0; ///< Seconds since a newer one was announced.
   double m_ListRevision = 0;
-  double m_Listed = 0;    ///< Entries of the list, as far as it is known here.
-  double m_Upstreams = 0; ///< Those of them that requests may be sent to.
+  double m_Listed = 0;    ///< Entries of the list that this box knows.
+  double m_Upstreams = 0; ///< Listed upstreams that requests may be sent to.
   double m_Peers = 0;
-  double m_Evacuated = 0;    ///< Data centres.
-  double m_StoreReached = 0; ///< 1 while the store answers this box.
-  double m_GivesOrders = 0;  ///< 1 on the box that gives orders.
+  double m_Evacuated = 0;     ///< Evacuated data centres.
+  double m_StoreReached = 0;  ///< 1 while the store answers this box.
+  double m_IsOrderLeader = 0; ///< 1 on the box that gives orders.
   double m_FencingToken = 0;
-  double m_LogLinesLeftOut = 0;
-  double m_BarredRequests = 0;    ///< Contents that are sent to no server.
-  double m_LimitedServers = 0;    ///< That name a limit.
-  double m_BackedOffServers = 0;  ///< That want nothing from this box.
-  double m_FramesSkipped = 0;     ///< Of kinds that only later builds know.
-  std::map<int, int> m_Protocols; ///< Linked boxes by what they understand.
-  std::map<DataCentreName, int> m_Cold;            ///< Cold servers.
-  std::map<std::string_view, double> m_PeerFrames; ///< Sent, by kind.
-  std::map<std::string_view, double> m_PeerBytes;
+  double m_DroppedLogLines = 0;
+  double m_QuarantinedRequests = 0; ///< Request contents not sent anywhere.
+  double m_LimitedUpstreams = 0;    ///< Upstreams that set a rate limit.
+  /// Upstreams that asked this box to retry later.
+  double m_BackedOffUpstreams = 0;
+  double m_FramesSkipped = 0; ///< Frames of kinds that only later builds know.
+  std::map<int, int> m_Protocols;       ///< Linked boxes by protocol version.
+  std::map<DataCentreName, int> m_Cold; ///< Cold upstreams by data centre.
+  std::map<std::string_view, double> m_PeerFrames; ///< Frames sent, by kind.
+  std::map<std::string_view, double> m_PeerBytes;  ///< Bytes sent, by kind.
 };
 
-/// Registry of all metrics. Labels are bounded: routes of the configuration,
-/// and words of closed lists. Past a bound, routes are told as "other".
+/// Registry of all metrics. The number of label values is bounded: they are
+/// routes of the configuration, organisations, data centres, and words of
+/// closed lists. Names past a bound are counted as "other".
 class GatewayMetrics {
 public:
   GatewayMetrics();
   ~GatewayMetrics();
 
-  void ended(const RequestResult &Result);
-  /// The same while a data centre is evacuated: refusals that may be due to
-  /// that.
-  void endedInEvacuation(std::string_view Outcome);
-  /// A send to an upstream ended with \p Outcome.
-  void sendEnded(std::string_view Outcome);
-  /// An order to an engine was answered.
-  void ordered(std::string_view Operation, std::string_view Answer);
-  /// A permit for a server in \p At was asked for, as it names a limit, or is
-  /// cold.
-  void permitAsked(const DataCentreName &At, bool Limited,
-                   std::string_view Answer);
-  /// A server was asked whether it had ended; \p What it turned out to be.
-  void serverAsked(std::string_view What);
-  /// A call to the store was made; \p Subject is its prefix, or empty.
-  void storeCalled(std::string_view Call, std::string_view Subject);
-  /// A configuration was taken that came on the way \p Source.
-  void configTaken(std::string_view Source);
-  /// A read of the configuration ended with \p Outcome.
-  void configRead(std::string_view Outcome);
-  void set(const GatewayGauges &Now);
+  /// Records how a caller's request ended.
+  void recordRequest(const RequestResult &Result);
+  /// Records how a caller's request ended while a data centre was evacuated,
+  /// which may explain a refusal.
+  void recordRequestInEvacuation(std::string_view Outcome);
+  /// Records that a send to an upstream ended with \p Outcome.
+  void recordSend(std::string_view Outcome);
+  /// Records the answer to an order to an engine.
+  void recordOrder(std::string_view Operation, std::string_view Answer);
+  /// Records the answer to a query for a permit for an upstream in \p At that
+  /// sets a limit (\p Limited) or is cold.
+  void recordPermit(const DataCentreName &At, bool Limited,
+                    std::string_view Answer);
+  /// Records the result \p What of a probe that tests whether an upstream has
+  /// ended.
+  void recordProbe(std::string_view What);
+  /// Records a call to the store. \p Subject is its prefix, or empty.
+  void recordStoreCall(std::string_view Call, std::string_view Subject);
+  /// Records that a configuration that came from \p Source was adopted.
+  void recordConfigAdoption(std::string_view Source);
+  /// Records that a read of the configuration ended with \p Outcome.
+  void recordConfigRead(std::string_view Outcome);
+  /// Sets all gauges.
+  void set(const GatewayGauges &Gauges);
 
-  /// The text of the metrics page.
+  /// \returns the text of the metrics page.
   std::string serialize() const;
 
 private:
--- a/packages/gateway/process/GatewayOptions.h
+++ b/packages/gateway/process/GatewayOptions.h
@@ -1,5 +1,5 @@
 /// \file
-/// Settings of a gateway process, as the platform's adapter hands them over.
+/// Settings of a gateway process, as the platform's adapter provides them.
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_GATEWAYOPTIONS_H
 #define HAVENSTAIR_GATEWAY_PROCESS_GATEWAYOPTIONS_H
 
@@ -15,29 +15,46 @@
 
 namespace havenstair {
 
-/// What the operators promise and expect; may change while the process runs.
+/// Limits and guarantees that operators set. They may change while the process
+/// runs.
 struct ServingBounds {
-  Duration m_GracePeriod = 8s;   ///< From the signal to stop to the kill.
-  Duration m_DrainTimeout = 2s;  ///< New work to a leaving upstream ends.
-  Duration m_OrderTurn = 3s;     ///< Between orders of two order givers.
-  Duration m_CeilingWindow = 5s; ///< For loads from the store of weights.
+  /// Time from the signal to stop until the process is killed.
+  Duration m_GracePeriod = 8s;
+  /// Time after which no new work goes to a leaving upstream.
+  Duration m_DrainTimeout = 2s;
+  /// Minimum time between the orders of two successive order leaders.
+  Duration m_LeaderHandover = 3s;
+  /// Window in which loads from the store of weights are limited.
+  Duration m_CeilingWindow = 5s;
+  /// Factor by which the limit of loads is multiplied.
   double m_CeilingOverage = 1;
+  /// Retries per request of a service that the retry budget allows.
   double m_RetryRatio = 0.2;
+  /// Window over which the retry budget counts requests and retries.
   Duration m_RetryWindow = 10s;
+  /// Retries per window that the budget allows all boxes together, in addition
+  /// to the ratio.
   double m_RetryAllowance = 10;
-  Duration m_QuotaWindow = 8s; ///< In which use of a quota is summed.
-  double m_QuotaOverage = 0;   ///< Part of a quota that use may exceed it by.
-  double m_QuotaAllowance = 0; ///< Units that use may exceed it by, besides.
-  Duration m_Revocation = 5s;  ///< A key that is taken away is refused by then.
+  /// Window over which the use of a quota is summed.
+  Duration m_QuotaWindow = 8s;
+  /// Fraction of a quota by which use may exceed it.
+  double m_QuotaOverage = 0;
+  /// Units by which use may exceed a quota, in addition to the fraction.
+  double m_QuotaAllowance = 0;
+  /// Time within which a key that operators revoke is refused.
+  Duration m_RevocationDelay = 5s;
+  /// By how much the rate of a cold upstream may be exceeded.
   WarmUpTolerance m_WarmUp;
-  /// No request goes to an evacuated data centre from then on; none where
-  /// operators do not evacuate.
-  std::optional<Duration> m_Evacuation;
-  /// Refuse keys when the configuration may be older than that.
+  /// Time after the start of an evacuation from which on no request goes to the
+  /// data centre; empty if operators do not evacuate.
+  std::optional<Duration> m_EvacuationDelay;
+  /// Refuse all keys while the configuration may be older than the time for
+  /// revocations.
   bool m_FailClosed = false;
 
   bool operator==(const ServingBounds &) const = default;
 
+  /// \returns the bounds that concern quotas.
   QuotaTolerance quotaTolerance() const {
     return {.m_Window = m_QuotaWindow,
             .m_Overage = m_QuotaOverage,
@@ -45,21 +62,21 @@
   }
 };
 
-/// Where the process listens and what it is called.
+/// Identity, addresses and limits of a gateway process.
 struct GatewayOptions {
   BoxName m_Box;
   DataCentreName m_DataCentre;
   DataCentreMap m_Regions;
-  double m_Capacity = 1; ///< Share of a core that the box gives.
-  Endpoint m_Callers;
-  Endpoint m_Readiness;
-  Endpoint m_Metrics;
-  Endpoint m_Peers;
-  std::vector<Endpoint> m_Seeds; ///< Peers that may be up.
+  double m_Capacity = 1;         ///< Share of a core that the box has.
+  Endpoint m_Callers;            ///< Listens for callers' requests.
+  Endpoint m_Readiness;          ///< Listens for readiness probes.
+  Endpoint m_Metrics;            ///< Listens for requests for the metrics page.
+  Endpoint m_Peers;              ///< Listens for links of other boxes.
+  std::vector<Endpoint> m_Seeds; ///< Peers to try first; they may be down.
   std::string m_PeerSecret;
-  Endpoint m_Store;
-  Duration m_LeastLease = 1s; ///< Shortest lease that the store grants.
-  bool m_FirstStart = false;  ///< The whole fleet starts with this box.
+  Endpoint m_Store;          ///< Address of the coordination store.
+  Duration m_MinLease = 1s;  ///< Shortest lease that the store grants.
+  bool m_FirstStart = false; ///< The whole fleet starts with this box.
   ServingBounds m_Bounds;
 
   bool operator==(const GatewayOptions &) const = default;
--- a/packages/gateway/process/GatewayPolicy.h
+++ b/packages/gateway/process/GatewayPolicy.h
@@ -1,5 +1,5 @@
 /// \file
-/// The weights of all decisions of a gateway process.
+/// Tuning parameters of all decisions of a gateway process.
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_GATEWAYPOLICY_H
 #define HAVENSTAIR_GATEWAY_PROCESS_GATEWAYPOLICY_H
 
@@ -12,7 +12,8 @@
 
 namespace havenstair {
 
-/// Each default stands with its figure at its option.
+/// Bundles the options of the decisions. The reason for each default stands at
+/// its option.
 struct GatewayPolicy {
   ReplicaWeights m_Choice;
   AdmissionOptions m_Admission;
@@ -20,7 +21,8 @@
   PlannerOptions m_Planner;
   AdapterOptions m_Adapters;
   DemandRates::Options m_Rates;
-  double m_ReplicaStaysMs = 6000; ///< How long a wanted replica stays at least.
+  double m_MinReplicaLifetimeMs =
+      6000; ///< How long a wanted replica stays at least.
 };
 
 } // namespace havenstair
--- a/packages/gateway/process/ListFollower.cpp
+++ b/packages/gateway/process/ListFollower.cpp
@@ -164,7 +164,7 @@
                                     : std::max(Own, vouchedAsOf(m_ListSource));
 }
 
-ConfigVouch ListFollower::configVouch(TimePoint Now) const {
+ConfigFreshness ListFollower::configVouch(TimePoint Now) const {
   return {.m_Age = std::min<Duration>(NoListAge, Now - configAsOf()),
           .m_By = m_Of.m_Upstreams.running() ? BoxName() : m_ListSource};
 }
--- a/packages/gateway/process/ListFollower.h
+++ b/packages/gateway/process/ListFollower.h
@@ -4,7 +4,7 @@
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_LISTFOLLOWER_H
 #define HAVENSTAIR_GATEWAY_PROCESS_LISTFOLLOWER_H
 
-#include "gateway/common/ConfigVouch.h"
+#include "gateway/common/ConfigFreshness.h"
 #include "gateway/process/ConfigAnswers.h"
 #include "gateway/process/ConfigFollower.h"
 #include "gateway/process/PrefixMirror.h"
@@ -97,7 +97,7 @@
   /// have been too old for long: another one may know better.
   bool uplinkFails(TimePoint Now) const;
 
-  ConfigVouch configVouch(TimePoint Now) const;
+  ConfigFreshness configVouch(TimePoint Now) const;
   /// As of when this box's configuration was the store's, or later; and its
   /// evacuations.
   TimePoint configAsOf() const;
--- a/packages/gateway/process/OrderGiver.cpp
+++ b/packages/gateway/process/OrderGiver.cpp
@@ -112,7 +112,7 @@
   tickLater();
   m_MayOrderFrom = Before.m_None || Own
                        ? Now
-                       : Now + m_Opts.m_Bounds.m_OrderTurn + TurnMargin;
+                       : Now + m_Opts.m_Bounds.m_LeaderHandover + TurnMargin;
   m_Engines.clear();
   m_Gone.clear();
   m_ClaimedAt = Now;
--- a/packages/gateway/process/PartOptions.cpp
+++ b/packages/gateway/process/PartOptions.cpp
@@ -24,7 +24,7 @@
   Opts.m_Seeds = Of.m_Seeds;
   Opts.m_Secret = Of.m_PeerSecret.empty() ? OpenSecret : Of.m_PeerSecret;
   Opts.m_Prefix = Binding.m_OwnPrefix;
-  Opts.m_Lease = std::max(Opts.m_Lease, Of.m_LeastLease);
+  Opts.m_Lease = std::max(Opts.m_Lease, Of.m_MinLease);
   Opts.m_Random = std::move(Random);
   return Opts;
 }
@@ -37,12 +37,12 @@
   Opts.m_Claim.m_Prefix = Binding.m_OwnPrefix;
   Opts.m_Claim.m_Holder = Of.m_Box.str();
   Opts.m_Claim.m_Process = Process.str();
-  Opts.m_Claim.m_Lease = std::max(Opts.m_Claim.m_Lease, Of.m_LeastLease);
+  Opts.m_Claim.m_Lease = std::max(Opts.m_Claim.m_Lease, Of.m_MinLease);
   Opts.m_Bounds = Of.m_Bounds;
   Opts.m_Planner = Policy.m_Planner;
   Opts.m_Adapters = Policy.m_Adapters;
   Opts.m_Rates = Policy.m_Rates;
-  Opts.m_ReplicaStays = fromMillis(Policy.m_ReplicaStaysMs);
+  Opts.m_ReplicaStays = fromMillis(Policy.m_MinReplicaLifetimeMs);
   return Opts;
 }
 
--- a/packages/gateway/process/PermitExchange.cpp
+++ b/packages/gateway/process/PermitExchange.cpp
@@ -12,84 +12,87 @@
 
 namespace {
 
-/// Relays also change with the box that gives orders, of which no list tells.
-constexpr Duration RefreshEvery = 1s;
+/// Roles are also refreshed periodically: relays depend on which box is the
+/// order leader, and no list announces that.
+constexpr Duration RefreshInterval = 1s;
 
-/// A lost answer, or no box that could give a permit: links and lists are
-/// found to be lost, or come back, in about this time.
-constexpr Duration AskAgainAfter = 250ms;
+/// Time to wait after a lost answer, or when no box could grant a permit: lost
+/// links and lists are detected, or come back, in about this time.
+constexpr Duration RetryDelay = 250ms;
 
-/// News of a shorter rest of a warm-up are not told: a word takes two hops,
-/// each behind a turn of a busy loop.
-constexpr Duration LeastNews = 250ms;
+/// A shorter remaining warm-up is not announced: a frame takes two hops, each
+/// behind a turn of a busy event loop.
+constexpr Duration MinAnnouncedCold = 250ms;
 
 } // namespace
 
-PermitExchange::PermitExchange(EventLoop &Loop, Fleet &Boxes, Views Known,
+PermitExchange::PermitExchange(EventLoop &Loop, Fleet &Boxes, Views Sources,
                                DecisionLog &Log,
                                const WarmUpTolerance &Tolerance,
                                Hooks Callbacks)
-    : m_Loop(Loop), m_Fleet(Boxes), m_View(Known.m_WarmUp),
-      m_Words(Known.m_Words), m_Bounds(Known.m_Bounds), m_Log(Log),
+    : m_Loop(Loop), m_Fleet(Boxes), m_WarmUp(Sources.m_WarmUp),
+      m_Signals(Sources.m_Signals), m_Bounds(Sources.m_Bounds), m_Log(Log),
       m_Hooks(std::move(Callbacks)), m_Permits(Tolerance) {
-  m_TickTimer = Loop.every(RefreshEvery, [this] { refreshRole(); });
+  m_TickTimer = Loop.every(RefreshInterval, [this] { refreshRole(); });
 }
 
 std::optional<BoxName>
-PermitExchange::admitter(const InstanceId &Server) const {
+PermitExchange::issuer(const InstanceId &Upstream) const {
   std::set<BoxName> Reached = m_Fleet.linked();
   Reached.insert(m_Fleet.self());
   return admitterOf(
-      Server, m_Fleet.topology().relaysOf(m_View.dataCentre(Server)), Reached,
-      m_Bounds.limited(Server) ? Quorum::Half : Quorum::Majority);
+      Upstream, m_Fleet.topology().relaysOf(m_WarmUp.dataCentre(Upstream)),
+      Reached, m_Bounds.limited(Upstream) ? Quorum::Half : Quorum::Majority);
 }
 
-/// Whether this box admits for \p Server while all listed relays are linked.
-bool PermitExchange::firstAdmitter(const InstanceId &Server) const {
+/// \returns whether this box is the issuer for \p Upstream while all listed
+/// relays are linked.
+bool PermitExchange::isPrimaryIssuer(const InstanceId &Upstream) const {
   const std::set<BoxName> &Relays =
-      m_Fleet.topology().relaysOf(m_View.dataCentre(Server));
-  return admitterOf(Server, Relays, Relays) == m_Fleet.self();
+      m_Fleet.topology().relaysOf(m_WarmUp.dataCentre(Upstream));
+  return admitterOf(Upstream, Relays, Relays) == m_Fleet.self();
 }
 
-void PermitExchange::listed(const InstanceList &List) {
-  m_View.listed(List, EventLoop::now());
+void PermitExchange::onListChanged(const InstanceList &List) {
+  m_WarmUp.listed(List, EventLoop::now());
   refreshRole();
 }
 
 void PermitExchange::refreshRole() {
   const TimePoint Now = EventLoop::now();
-  std::erase_if(m_PassedOn, [&](const auto &Each) {
-    return Now - Each.second.m_Since > RefreshEvery;
+  std::erase_if(m_ForwardedQueries, [&](const auto &Each) {
+    return Now - Each.second.m_Since > RefreshInterval;
   });
-  m_Permits.admits(ownServers(), Now);
+  m_Permits.admits(ownUpstreams(), Now);
 }
 
-std::map<InstanceId, AdmittedServer> PermitExchange::ownServers() const {
+std::map<InstanceId, AdmittedServer> PermitExchange::ownUpstreams() const {
   std::map<InstanceId, AdmittedServer> Result;
   if (!m_Fleet.topology().relay())
     return Result;
-  const auto Add = [&](const InstanceId &Server,
+  const auto Add = [&](const InstanceId &Upstream,
                        std::optional<TimePoint> BoundSince) {
-    if (admitter(Server) == m_Fleet.self())
-      Result.try_emplace(Server,
-                         AdmittedServer{.m_First = firstAdmitter(Server),
+    if (issuer(Upstream) == m_Fleet.self())
+      Result.try_emplace(Upstream,
+                         AdmittedServer{.m_First = isPrimaryIssuer(Upstream),
                                         .m_BoundSince = BoundSince});
   };
-  if (m_View.active())
-    for (const InstanceId &Each : m_View.limited())
+  if (m_WarmUp.active())
+    for (const InstanceId &Each : m_WarmUp.limited())
       Add(Each, std::nullopt);
-  for (const auto &[Server, Limit] : m_Words.limits())
-    Add(Server.m_Id, Limit.m_Since);
+  for (const auto &[Upstream, Limit] : m_Signals.limits())
+    Add(Upstream.m_Id, Limit.m_Since);
   return Result;
 }
 
-/// The box to ask: a relay knows the admitter; a leaf is linked to few and asks
-/// one of the server's data centre, or its own uplinks in their order.
-BoxName PermitExchange::nextBox(const InstanceId &Server) const {
+/// \returns the box to ask, or an empty name if there is none. A relay knows
+/// the issuer. A leaf is linked to few boxes, and asks one in the data centre
+/// of the upstream, or else the first of its uplinks.
+BoxName PermitExchange::nextBox(const InstanceId &Upstream) const {
   if (m_Fleet.topology().relay())
-    return admitter(Server).value_or(BoxName());
+    return issuer(Upstream).value_or(BoxName());
   const std::set<BoxName> &Near =
-      m_Fleet.topology().relaysOf(m_View.dataCentre(Server));
+      m_Fleet.topology().relaysOf(m_WarmUp.dataCentre(Upstream));
   BoxName Other;
   for (const BoxName &Each : m_Fleet.topology().links()) {
     if (!m_Fleet.linked().contains(Each))
@@ -103,111 +106,115 @@
 }
 
 PermitVerdict PermitExchange::decide(const BoxName &For,
-                                     const InstanceId &Server,
+                                     const InstanceId &Upstream,
                                      Duration Patience) {
   const TimePoint Now = EventLoop::now();
-  std::optional<SendBound> Bound = m_Bounds.of(Server, Now);
-  // Who asks believes that it is cold.
-  if (const WarmUpSpec *Spec = m_View.spec(Server); !Bound && Spec != nullptr)
+  std::optional<SendBound> Bound = m_Bounds.of(Upstream, Now);
+  // The box that asks assumes that the upstream is cold.
+  if (const WarmUpSpec *Spec = m_WarmUp.spec(Upstream);
+      !Bound && Spec != nullptr)
     Bound = SendBound{.m_Cold = *Spec, .m_LimitPerS = std::nullopt};
   if (!Bound) {
-    m_Hooks.m_Needless(For, Server);
-    return {.m_Granted = false, .m_After = AskAgainAfter};
+    m_Hooks.m_UnknownBound(For, Upstream);
+    return {.m_Granted = false, .m_After = RetryDelay};
   }
-  return m_Permits.ask(Server, *Bound, Patience, Now);
+  return m_Permits.ask(Upstream, *Bound, Patience, Now);
 }
 
-void PermitExchange::ask(const InstanceId &Server, Duration Patience,
+void PermitExchange::ask(const InstanceId &Upstream, Duration Patience,
                          Done Callback) {
-  Asked Of{.m_Server = Server,
-           .m_Done = std::move(Callback),
-           .m_Since = EventLoop::now(),
-           .m_Timer = Timer()};
-  const BoxName To = nextBox(Server);
+  Query Pending{.m_Upstream = Upstream,
+                .m_Done = std::move(Callback),
+                .m_Since = EventLoop::now(),
+                .m_Timer = Timer()};
+  const BoxName To = nextBox(Upstream);
   if (To.empty())
-    return finish(Of, std::nullopt);
+    return finish(Pending, std::nullopt);
   if (To == m_Fleet.self())
-    return finish(Of, decide(m_Fleet.self(), Server, Patience));
+    return finish(Pending, decide(m_Fleet.self(), Upstream, Patience));
   const std::uint64_t Id = ++m_LastId;
-  Of.m_Timer =
-      m_Loop.after(SendPermits::Validity, [this, Id] { unanswered(Id); });
-  m_Asked[Id] = std::move(Of);
-  m_Fleet.send(To, PermitAskFrame{
-                       .m_Id = Id, .m_Server = Server, .m_Patience = Patience});
+  Pending.m_Timer =
+      m_Loop.after(SendPermits::Validity, [this, Id] { onTimeout(Id); });
+  m_Queries[Id] = std::move(Pending);
+  m_Fleet.send(
+      To,
+      PermitAskFrame{.m_Id = Id, .m_Server = Upstream, .m_Patience = Patience});
 }
 
-void PermitExchange::unanswered(std::uint64_t Id) {
-  const auto Found = m_Asked.find(Id);
-  if (Found == m_Asked.end())
+void PermitExchange::onTimeout(std::uint64_t Id) {
+  const auto Found = m_Queries.find(Id);
+  if (Found == m_Queries.end())
     return;
-  const Asked Of = std::move(Found->second);
-  m_Asked.erase(Found);
-  finish(Of, std::nullopt);
+  const Query Pending = std::move(Found->second);
+  m_Queries.erase(Found);
+  finish(Pending, std::nullopt);
 }
 
-/// Tells who asked. A box that was held up finds its permit lapsed.
-void PermitExchange::finish(const Asked &Of,
+/// Passes the verdict on to the request that asked. If this box was stalled
+/// meanwhile, the permit has expired.
+void PermitExchange::finish(const Query &Pending,
                             const std::optional<PermitVerdict> &Verdict) {
   const TimePoint Now = EventLoop::now();
-  const TimePoint Lapses = Of.m_Since + SendPermits::Validity;
-  const bool Bound = m_Bounds.bound(Of.m_Server, Now);
-  const auto Ends = Bound ? m_Bounds.endsAt(Of.m_Server, Now) : Now;
+  const TimePoint Lapses = Pending.m_Since + SendPermits::Validity;
+  const bool Bound = m_Bounds.bound(Pending.m_Upstream, Now);
+  const auto Ends = Bound ? m_Bounds.endsAt(Pending.m_Upstream, Now) : Now;
   const bool InTime = Verdict && Now <= Lapses;
   const bool Granted = InTime && Verdict->m_Granted;
-  const Duration Away = InTime ? Verdict->m_After : AskAgainAfter;
+  const Duration Away = InTime ? Verdict->m_After : RetryDelay;
   PermitAnswer Answer{.m_Permit = std::nullopt,
-                      .m_Free =
+                      .m_RetryAt =
                           std::min(Ends.value_or(Now + Away), Now + Away)};
   if (Granted)
     Answer.m_Permit = {.m_From = Now + Verdict->m_After,
                        .m_Until = Lapses + Verdict->m_After};
   else
-    m_Bounds.noteBusy(Of.m_Server, Answer.m_Free, Now);
+    m_Bounds.noteBusy(Pending.m_Upstream, Answer.m_RetryAt, Now);
   const std::string_view What = Granted  ? "granted"
                                 : InTime ? "refused"
                                          : "unanswered";
-  const NamedLimit *Limit = m_Words.limit(Of.m_Server);
-  m_Hooks.m_Asked(m_View.dataCentre(Of.m_Server), Limit != nullptr, What);
+  const NamedLimit *Limit = m_Signals.limit(Pending.m_Upstream);
+  m_Hooks.m_PermitDecided(m_WarmUp.dataCentre(Pending.m_Upstream),
+                          Limit != nullptr, What);
   m_Log.write(
       "permit",
-      {{"upstream", Of.m_Server},
+      {{"upstream", Pending.m_Upstream},
        {"answer", What},
        {"after_ms", (Granted ? Verdict->m_After : Away) / 1ms},
-       {"asked_ms", (Now - Of.m_Since) / 1ms},
+       {"asked_ms", (Now - Pending.m_Since) / 1ms},
        {"warm_in_ms", Ends ? Json((*Ends - Now) / 1ms) : Json()},
        {"limit_per_s", Limit != nullptr ? Json(Limit->m_PerS) : Json()},
        {"limit_by", Limit != nullptr ? Limit->m_By.str() : ""},
        {"limit_age_ms",
         Limit != nullptr ? Json((Now - Limit->m_Heard) / 1ms) : Json()}});
-  Of.m_Done(Answer);
+  Pending.m_Done(Answer);
 }
 
-void PermitExchange::heard(const InstanceId &Server, Duration ColdFor,
-                           TimePoint AskedAt) {
-  if (!m_View.told(Server, ColdFor, AskedAt, EventLoop::now()))
+void PermitExchange::reportCold(const InstanceId &Upstream, Duration ColdFor,
+                                TimePoint AskedAt) {
+  if (!m_WarmUp.told(Upstream, ColdFor, AskedAt, EventLoop::now()))
     return;
-  // By the time that others hear of it, it is over.
-  if (ColdFor < LeastNews)
+  // It would be over before the other boxes receive it.
+  if (ColdFor < MinAnnouncedCold)
     return;
   m_Log.write("turned_cold",
-              {{"upstream", Server}, {"cold_ms", ColdFor / 1ms}});
+              {{"upstream", Upstream}, {"cold_ms", ColdFor / 1ms}});
   m_Fleet.sendAll(
-      WarmUpNewsFrame{.m_Life = m_View.life(Server), .m_ColdFor = ColdFor});
+      WarmUpNewsFrame{.m_Life = m_WarmUp.life(Upstream), .m_ColdFor = ColdFor});
 }
 
 void PermitExchange::onFrame(const BoxName &From, const PeerFrame &Frame) {
   std::visit(
       [&](const auto &Each) {
-        if constexpr (requires { take(From, Each); })
-          take(From, Each);
+        if constexpr (requires { receive(From, Each); })
+          receive(From, Each);
       },
       Frame);
 }
 
-void PermitExchange::take(const BoxName &From, const PermitAskFrame &Frame) {
-  const auto Admitter = admitter(Frame.m_Server);
-  const bool PassOn = Admitter && *Admitter != m_Fleet.self() &&
-                      !m_Fleet.topology().isRelay(From);
+void PermitExchange::receive(const BoxName &From, const PermitAskFrame &Frame) {
+  const auto Issuer = issuer(Frame.m_Server);
+  const bool PassOn =
+      Issuer && *Issuer != m_Fleet.self() && !m_Fleet.topology().isRelay(From);
   if (!PassOn) {
     m_Fleet.send(From,
                  PermitAnswerFrame{.m_Id = Frame.m_Id,
@@ -216,38 +223,39 @@
     return;
   }
   const std::uint64_t Id = ++m_LastId;
-  m_PassedOn[Id] = {
+  m_ForwardedQueries[Id] = {
       .m_From = From, .m_Id = Frame.m_Id, .m_Since = EventLoop::now()};
-  m_Fleet.send(*Admitter, PermitAskFrame{.m_Id = Id,
-                                         .m_Server = Frame.m_Server,
-                                         .m_Patience = Frame.m_Patience});
+  m_Fleet.send(*Issuer, PermitAskFrame{.m_Id = Id,
+                                       .m_Server = Frame.m_Server,
+                                       .m_Patience = Frame.m_Patience});
 }
 
-void PermitExchange::take(const BoxName &, const PermitAnswerFrame &Frame) {
-  if (const auto Passed = m_PassedOn.find(Frame.m_Id);
-      Passed != m_PassedOn.end()) {
-    const PassedOn To = Passed->second;
-    m_PassedOn.erase(Passed);
+void PermitExchange::receive(const BoxName &, const PermitAnswerFrame &Frame) {
+  if (const auto Forwarded = m_ForwardedQueries.find(Frame.m_Id);
+      Forwarded != m_ForwardedQueries.end()) {
+    const ForwardedQuery To = Forwarded->second;
+    m_ForwardedQueries.erase(Forwarded);
     m_Fleet.send(To.m_From, PermitAnswerFrame{.m_Id = To.m_Id,
                                               .m_Verdict = Frame.m_Verdict});
     return;
   }
-  const auto Found = m_Asked.find(Frame.m_Id);
-  // It was given up; what was granted lapses.
-  if (Found == m_Asked.end())
+  const auto Found = m_Queries.find(Frame.m_Id);
+  // The query has timed out. A permit that was granted expires unused.
+  if (Found == m_Queries.end())
     return;
-  const Asked Of = std::move(Found->second);
-  m_Asked.erase(Found);
-  finish(Of, Frame.m_Verdict);
+  const Query Pending = std::move(Found->second);
+  m_Queries.erase(Found);
+  finish(Pending, Frame.m_Verdict);
 }
 
-void PermitExchange::take(const BoxName &From, const WarmUpNewsFrame &Frame) {
+void PermitExchange::receive(const BoxName &From,
+                             const WarmUpNewsFrame &Frame) {
   const TimePoint Now = EventLoop::now();
-  const InstanceId &Server = Frame.m_Life.m_Id;
-  // Of a life that is not the newest here, it says nothing.
-  if (m_View.life(Server) != Frame.m_Life || m_View.cold(Server, Now))
+  const InstanceId &Upstream = Frame.m_Life.m_Id;
+  // It concerns another incarnation than the newest that this box knows.
+  if (m_WarmUp.life(Upstream) != Frame.m_Life || m_WarmUp.cold(Upstream, Now))
     return;
-  if (m_View.told(Server, Frame.m_ColdFor, Now, Now))
+  if (m_WarmUp.told(Upstream, Frame.m_ColdFor, Now, Now))
     m_Fleet.passOn(Frame, From);
 }
 
--- a/packages/gateway/process/PermitExchange.h
+++ b/packages/gateway/process/PermitExchange.h
@@ -1,5 +1,5 @@
 /// \file
-/// How boxes keep one rate together for each server that is cold or names a
+/// Enforces one rate across all boxes for each upstream that is cold or sets a
 /// limit. See docs/design/warm-up.md and docs/design/server-words.md.
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_PERMITEXCHANGE_H
 #define HAVENSTAIR_GATEWAY_PROCESS_PERMITEXCHANGE_H
@@ -8,7 +8,7 @@
 #include "decisions/process/SendPermits.h"
 #include "decisions/process/ServerWords.h"
 #include "decisions/process/WarmUpView.h"
-#include "gateway/request/PermitDesk.h"
+#include "gateway/request/PermitService.h"
 #include "wire/common/EventLoop.h"
 #include "wire/connection/PeerFrames.h"
 #include <cstdint>
@@ -21,88 +21,94 @@
 class DecisionLog;
 class Fleet;
 
-/// One relay of the server's data centre gives out permits for it. Other
-/// boxes ask it, leaves by way of a relay. News that a server is cold go to all
+/// Grants permits to send to bounded upstreams. One relay of an upstream's data
+/// centre, the issuer, grants the permits for it. Other boxes ask the issuer;
+/// leaves ask through a relay. That an upstream has become cold is sent to all
 /// boxes at once.
-class PermitExchange : public PermitDesk {
+class PermitExchange : public PermitService {
 public:
   struct Hooks {
-    /// A permit for a server in \p At was asked for, as it names a limit, or is
-    /// cold; \p What became of it, one of "granted", "refused" and
-    /// "unanswered".
+    /// Called when a query of this box has ended. The permit was for an
+    /// upstream in \p At that sets a limit (\p Limited) or is cold. \p What is
+    /// "granted", "refused" or "unanswered".
     std::function<void(const DataCentreName &At, bool Limited,
                        std::string_view What)>
-        m_Asked;
-    /// \p Box asked for a permit for \p Server, of which this box knows no
-    /// bound.
-    std::function<void(const BoxName &Box, const InstanceId &Server)>
-        m_Needless;
+        m_PermitDecided;
+    /// Called when \p Box asked for a permit for \p Upstream, for which this
+    /// box knows no bound.
+    std::function<void(const BoxName &Box, const InstanceId &Upstream)>
+        m_UnknownBound;
   };
 
-  /// What a box knows of the servers.
+  /// The state of upstreams as this box knows it.
   struct Views {
     WarmUpView &m_WarmUp;
-    const ServerWords &m_Words;
+    const ServerWords &m_Signals;
     SendBounds &m_Bounds;
   };
 
-  PermitExchange(EventLoop &Loop, Fleet &Boxes, Views Known, DecisionLog &Log,
+  PermitExchange(EventLoop &Loop, Fleet &Boxes, Views Sources, DecisionLog &Log,
                  const WarmUpTolerance &Tolerance, Hooks Callbacks);
   PermitExchange(const PermitExchange &) = delete;
   PermitExchange &operator=(const PermitExchange &) = delete;
 
+  /// Sets by how much the rate of a cold upstream may be exceeded.
   void setTolerance(const WarmUpTolerance &Tolerance) {
     m_Permits.setTolerance(Tolerance);
   }
-  /// The list of servers has changed.
-  void listed(const InstanceList &List);
-  /// Boxes, links or limits have changed.
+  /// Takes over the changed list of upstreams.
+  void onListChanged(const InstanceList &List);
+  /// Determines again for which upstreams this box issues permits. To be called
+  /// when boxes, links or limits have changed.
   void refreshRole();
 
-  void ask(const InstanceId &Server, Duration Patience, Done Callback) override;
-  void heard(const InstanceId &Server, Duration ColdFor,
-             TimePoint AskedAt) override;
+  void ask(const InstanceId &Upstream, Duration Patience,
+           Done Callback) override;
+  void reportCold(const InstanceId &Upstream, Duration ColdFor,
+                  TimePoint AskedAt) override;
 
+  /// Handles the permit and warm-up frames among those that \p From sends.
   void onFrame(const BoxName &From, const PeerFrame &Frame);
 
 private:
-  /// A question of this box that has not been answered yet.
-  struct Asked {
-    InstanceId m_Server;
+  /// A query of this box that has not been answered yet.
+  struct Query {
+    InstanceId m_Upstream;
     Done m_Done;
     TimePoint m_Since{};
     Timer m_Timer;
   };
-  /// A question of a leaf that was passed on.
-  struct PassedOn {
+  /// A query of a leaf that this relay has forwarded to the issuer.
+  struct ForwardedQuery {
     BoxName m_From;
-    std::uint64_t m_Id = 0;
+    std::uint64_t m_Id = 0; ///< The leaf's id of the query.
     TimePoint m_Since{};
   };
 
-  std::optional<BoxName> admitter(const InstanceId &Server) const;
-  bool firstAdmitter(const InstanceId &Server) const;
-  std::map<InstanceId, AdmittedServer> ownServers() const;
-  BoxName nextBox(const InstanceId &Server) const;
-  PermitVerdict decide(const BoxName &For, const InstanceId &Server,
+  std::optional<BoxName> issuer(const InstanceId &Upstream) const;
+  bool isPrimaryIssuer(const InstanceId &Upstream) const;
+  std::map<InstanceId, AdmittedServer> ownUpstreams() const;
+  BoxName nextBox(const InstanceId &Upstream) const;
+  PermitVerdict decide(const BoxName &For, const InstanceId &Upstream,
                        Duration Patience);
-  void finish(const Asked &Of, const std::optional<PermitVerdict> &Verdict);
-  void unanswered(std::uint64_t Id);
-  void take(const BoxName &From, const PermitAskFrame &Frame);
-  void take(const BoxName &From, const PermitAnswerFrame &Frame);
-  void take(const BoxName &From, const WarmUpNewsFrame &Frame);
+  void finish(const Query &Pending,
+              const std::optional<PermitVerdict> &Verdict);
+  void onTimeout(std::uint64_t Id);
+  void receive(const BoxName &From, const PermitAskFrame &Frame);
+  void receive(const BoxName &From, const PermitAnswerFrame &Frame);
+  void receive(const BoxName &From, const WarmUpNewsFrame &Frame);
 
   EventLoop &m_Loop;
   Fleet &m_Fleet;
-  WarmUpView &m_View;
-  const ServerWords &m_Words;
+  WarmUpView &m_WarmUp;
+  const ServerWords &m_Signals;
   SendBounds &m_Bounds;
   DecisionLog &m_Log;
   Hooks m_Hooks;
   SendPermits m_Permits;
   std::uint64_t m_LastId = 0;
-  std::map<std::uint64_t, Asked> m_Asked;
-  std::map<std::uint64_t, PassedOn> m_PassedOn;
+  std::map<std::uint64_t, Query> m_Queries;
+  std::map<std::uint64_t, ForwardedQuery> m_ForwardedQueries;
   Timer m_TickTimer;
 };
 
--- /dev/null
+++ b/packages/gateway/process/QuarantineStore.h
@@ -0,0 +1,65 @@
+/// \file
+/// Keeps quarantined requests in the store, where they survive the boxes.
+#ifndef HAVENSTAIR_GATEWAY_PROCESS_QUARANTINESTORE_H
+#define HAVENSTAIR_GATEWAY_PROCESS_QUARANTINESTORE_H
+
+#include "decisions/process/CrashBook.h"
+#include "gateway/process/CoordinationStore.h"
+#include "wire/common/EventLoop.h"
+#include <map>
+#include <memory>
+#include <set>
+#include <string>
+#include <vector>
+
+namespace havenstair {
+
+class DecisionLog;
+
+/// Stores one key for each quarantine, under a lease as long as the quarantine.
+/// One box writes, and all boxes read. Operators release a request by a key of
+/// its own.
+class QuarantineStore {
+public:
+  /// Quarantines by request.
+  using Entries = std::map<RequestDigest, RequestBar>;
+
+  QuarantineStore(CoordinationStore &Store, DecisionLog &Log,
+                  std::string Prefix);
+  QuarantineStore(const QuarantineStore &) = delete;
+  QuarantineStore &operator=(const QuarantineStore &) = delete;
+
+  /// What a change of the store's keys means.
+  struct Changes {
+    /// Quarantines whose keys were not there before. Their times are not set.
+    Entries m_Added;
+    /// All requests that operators have released, new or not.
+    std::set<RequestDigest> m_Released;
+  };
+  /// Reads the store's keys, of which \p Items are all under the gateway's
+  /// prefix.
+  Changes entriesChanged(const std::map<std::string, StoreItem> &Items);
+  /// Brings the store's keys closer to \p Wanted by one transaction of limited
+  /// size. Does nothing before the keys have been read or while a transaction
+  /// is in flight.
+  void reconcile(const Entries &Wanted, TimePoint Now);
+
+private:
+  void put(LeaseId Lease, const Entries &Missing);
+  void remove(const std::vector<RequestDigest> &Surplus);
+  void transact(const StoreTransaction &Transaction);
+  std::string keyOf(const RequestDigest &Request) const;
+
+  CoordinationStore &m_Store;
+  DecisionLog &m_Log;
+  std::string m_Prefix;
+  std::set<RequestDigest> m_Stored; ///< Requests whose keys are in the store.
+  bool m_HasRead = false;           ///< The keys have been read.
+  bool m_InFlight = false;
+  /// Expires with this object, so that later callbacks can tell.
+  std::shared_ptr<bool> m_Alive = std::make_shared<bool>(true);
+};
+
+} // namespace havenstair
+
+#endif
--- a/packages/gateway/process/QuotaExchange.cpp
+++ b/packages/gateway/process/QuotaExchange.cpp
@@ -11,39 +11,43 @@
 
 namespace {
 
-/// News of buckets that are nearly empty are told this often. A tenfold rush of
-/// an organisation uses some 0.4 s of its rate in that time and the way.
-constexpr Duration TellEvery = 40ms;
-/// Every so many of these, all news are told, and that the box is there.
-constexpr int TellAllEvery = 3;
-
-/// A relay answers within some ms; then another one is asked.
-constexpr Duration AnswerWithin = 80ms;
-/// After this long without any answer, nobody can tell.
-constexpr Duration GiveUpAfter = 400ms;
-
-/// How long a relay's word counts that a quota is far from used up: a few
-/// requests of a busy organisation, whose answers renew it.
-constexpr Duration AmpleFor = 300ms;
-
-/// A leaf that no relay answers uses its own part; relays stop counting a
-/// silent leaf within a second.
-constexpr Duration AloneAfter = 1500ms;
-
-/// A leaf without requests asks for nothing this often, to know that its relays
-/// are there.
-constexpr Duration AskAnyway = 500ms;
-
-/// Lines of what was let pass and turned away come this often: bounds of quotas
-/// are judged over seconds.
-constexpr Duration AccountEvery = 1s;
-
-/// Names of processes are those of their machines with a suffix.
+/// Interval at which relays send the usage of buckets that are nearly empty.
+/// When an organisation sends ten times its rate, it uses about 0.4 s of that
+/// rate during the interval and the transmission.
+constexpr Duration SendInterval = 40ms;
+/// Every this many intervals, all usage is sent, which also shows that the box
+/// is up.
+constexpr int TicksPerFullSend = 3;
+
+/// Time to wait for a relay before another one is asked. A relay answers within
+/// a few milliseconds.
+constexpr Duration AnswerTimeout = 80ms;
+/// Time after which a query fails if no relay has answered.
+constexpr Duration QueryTimeout = 400ms;
+
+/// How long a relay's statement that a quota is far from used up is valid: as
+/// long as a few requests of a busy organisation, whose answers renew it.
+constexpr Duration AmpleValidity = 300ms;
+
+/// Time without an answer after which a leaf enforces its own share. Relays
+/// stop counting a silent leaf within a second.
+constexpr Duration IsolatedAfter = 1500ms;
+
+/// Interval at which a leaf without requests sends an empty query, to check
+/// that its relays are up.
+constexpr Duration KeepaliveInterval = 500ms;
+
+/// Interval of the log lines on granted and refused units: quota limits are
+/// checked over seconds.
+constexpr Duration AccountInterval = 1s;
+
+/// \returns the name of the machine, which the name of a process extends by a
+/// suffix.
 std::string machineOf(const BoxName &Process) {
   return Process.str().substr(0, Process.str().rfind('.'));
 }
 
-/// \p Request when it has waited for \p Time.
+/// \returns \p Request after it has waited for \p Time.
 QuotaRequest afterWait(QuotaRequest Request, Duration Time) {
   Request.m_Patience = std::max<Duration>(0us, Request.m_Patience - Time);
   Request.m_Waited = true;
@@ -55,24 +59,26 @@
 QuotaExchange::QuotaExchange(EventLoop &Loop, Fleet &Boxes, DecisionLog &Log,
                              const QuotaTolerance &Tolerance, Hooks Callbacks)
     : m_Loop(Loop), m_Fleet(Boxes), m_Log(Log), m_Hooks(std::move(Callbacks)),
-      m_Book({.m_Tolerance = Tolerance}), m_AnsweredAt(EventLoop::now()) {
-  m_TickTimer = Loop.every(TellEvery, [this] { tick(); });
-  m_AccountTimer = Loop.every(AccountEvery, [this] { logAccounts(); });
+      m_Ledger({.m_Tolerance = Tolerance}), m_AnsweredAt(EventLoop::now()) {
+  m_TickTimer = Loop.every(SendInterval, [this] { tick(); });
+  m_AccountTimer = Loop.every(AccountInterval, [this] { logAccounts(); });
 }
 
 void QuotaExchange::setTolerance(const QuotaTolerance &Tolerance) {
-  m_Book.setTolerance(Tolerance);
+  m_Ledger.setTolerance(Tolerance);
 }
 
 void QuotaExchange::configure(const std::vector<Organisation> &All) {
   m_AmpleUntil.clear();
-  m_Book.configure(All, EventLoop::now());
+  m_Ledger.configure(All, EventLoop::now());
 }
 
-/// Boxes that a box that counts does so for.
-std::size_t QuotaExchange::counted() const { return 1 + m_Hooks.m_Leaves(); }
+/// \returns the number of boxes that a relay counts for, including itself.
+std::size_t QuotaExchange::boxesCountedFor() const {
+  return 1 + m_Hooks.m_LeafCount();
+}
 
-bool QuotaExchange::counts() const { return m_Fleet.topology().relay(); }
+bool QuotaExchange::keepsLedger() const { return m_Fleet.topology().relay(); }
 
 void QuotaExchange::boxesChanged() {
   const TimePoint Now = EventLoop::now();
@@ -81,64 +87,68 @@
   for (const BoxName &Process : m_Fleet.processes())
     Machines.insert(machineOf(Process));
   m_Census.listed(std::move(Machines), Now);
-  // The levels of a leaf are those of its own part only.
-  if (counts() != m_Counts) {
-    m_Counts = counts();
-    m_Book.restart(Now);
-    m_Log.write("quota_role", {{"counts", m_Counts}});
+  // The levels that a leaf has counted are those of its own share only.
+  if (keepsLedger() != m_KeepsLedger) {
+    m_KeepsLedger = keepsLedger();
+    m_Ledger.restart(Now);
+    m_Log.write("quota_role", {{"counts", m_KeepsLedger}});
   }
   setBoxes(Now);
 }
 
-bool QuotaExchange::alone(TimePoint Now) const {
-  return m_BoxesKnown && Now - m_AnsweredAt > AloneAfter;
+bool QuotaExchange::isolated(TimePoint Now) const {
+  return m_BoxesKnown && Now - m_AnsweredAt > IsolatedAfter;
 }
 
 void QuotaExchange::setBoxes(TimePoint Now) {
-  const std::size_t Own = m_Counts ? counted() : (alone(Now) ? 1 : 0);
-  m_Book.setBoxes(Own, m_Census.count(Now), Now);
+  const std::size_t Own =
+      m_KeepsLedger ? boxesCountedFor() : (isolated(Now) ? 1 : 0);
+  m_Ledger.setBoxes(Own, m_Census.count(Now), Now);
 }
 
 void QuotaExchange::tick() {
   const TimePoint Now = EventLoop::now();
-  if (m_Book.empty())
+  if (m_Ledger.empty())
     return;
-  m_Book.tick(Now);
+  m_Ledger.tick(Now);
   setBoxes(Now);
   ++m_Ticks;
-  if (m_Counts)
-    tell(m_Ticks % TellAllEvery == 0);
-  else if (Now - m_AnsweredAt > AskAnyway && Now - m_AskedAt > AskAnyway)
+  if (m_KeepsLedger)
+    sendUsage(m_Ticks % TicksPerFullSend == 0);
+  else if (Now - m_AnsweredAt > KeepaliveInterval &&
+           Now - m_LastAskedAt > KeepaliveInterval)
     ask("", {}, {});
 }
 
-/// The sum over all boxes' lines tells what was let pass of each limit.
+/// Logs granted and refused units. The sum over the lines of all boxes shows
+/// how much of each quota was granted.
 void QuotaExchange::logAccounts() {
-  for (const auto &[Organisation, Of] : m_Book.takeAccounts(EventLoop::now()))
+  for (const auto &[Organisation, Account] :
+       m_Ledger.takeAccounts(EventLoop::now()))
     m_Log.write("quota_account", {{"organisation", Organisation},
-                                  {"granted", std::lround(Of.m_Granted)},
-                                  {"refused", std::lround(Of.m_Refused)},
-                                  {"level", std::lround(Of.m_Level)},
-                                  {"rate_per_s", Of.m_RatePerS},
-                                  {"share", m_Book.share()},
-                                  {"counts", m_Counts}});
+                                  {"granted", std::lround(Account.m_Granted)},
+                                  {"refused", std::lround(Account.m_Refused)},
+                                  {"level", std::lround(Account.m_Level)},
+                                  {"rate_per_s", Account.m_RatePerS},
+                                  {"share", m_Ledger.share()},
+                                  {"counts", m_KeepsLedger}});
 }
 
-void QuotaExchange::tell(bool All) {
+void QuotaExchange::sendUsage(bool All) {
   const TimePoint Now = EventLoop::now();
-  QuotaUseFrame Frame{.m_Boxes = static_cast<std::uint32_t>(counted()),
-                      .m_Settled = m_Book.settled(Now),
-                      .m_Words = m_Book.takeNews(All, Now)};
+  QuotaUseFrame Frame{.m_Boxes = static_cast<std::uint32_t>(boxesCountedFor()),
+                      .m_Settled = m_Ledger.settled(Now),
+                      .m_Words = m_Ledger.takeNews(All, Now)};
   if (!All && Frame.m_Words.empty())
     return;
   for (const BoxName &Relay : m_Fleet.linkedRelays())
     m_Fleet.send(Relay, Frame);
 }
 
-void QuotaExchange::take(const std::string &Organisation,
-                         const QuotaRequest &Request, Done Callback) {
+void QuotaExchange::acquire(const std::string &Organisation,
+                            const QuotaRequest &Request, Done Callback) {
   const TimePoint Now = EventLoop::now();
-  if (m_Counts || alone(Now))
+  if (m_KeepsLedger || isolated(Now))
     return decide(Organisation, Request, Callback);
   const auto Ample = m_AmpleUntil.find(Organisation);
   if (Ample == m_AmpleUntil.end() || Now >= Ample->second)
@@ -147,18 +157,19 @@
   Callback(QuotaVerdict{.m_Step = QuotaStep::Grant, .m_Ample = true});
 }
 
-/// Answers at once unless it pays to wait for the units.
+/// Answers at once, unless the units become available soon enough to wait for
+/// them.
 void QuotaExchange::decide(const std::string &Organisation,
                            const QuotaRequest &Request,
-                           const QuotaDesk::Done &Callback) {
+                           const QuotaService::Done &Callback) {
   const QuotaVerdict Verdict =
-      m_Book.trySpend(Organisation, Request, EventLoop::now());
+      m_Ledger.trySpend(Organisation, Request, EventLoop::now());
   if (Verdict.m_Step != QuotaStep::Wait)
     return Callback(Verdict);
   const std::uint64_t Id = ++m_LastWait;
   const QuotaRequest Later = afterWait(Request, Verdict.m_After);
   m_Waiting[Id] = m_Loop.after(Verdict.m_After, [=, this] {
-    // The timer holds what this runs on.
+    // The timer owns the function that runs now, so it has to outlive it.
     const Timer Ended = std::move(m_Waiting.at(Id));
     m_Waiting.erase(Id);
     decide(Organisation, Later, Callback);
@@ -166,8 +177,8 @@
 }
 
 void QuotaExchange::giveBack(const std::string &Organisation, double Units) {
-  if (m_Counts || alone(EventLoop::now()))
-    return m_Book.giveBack(Organisation, Units, EventLoop::now());
+  if (m_KeepsLedger || isolated(EventLoop::now()))
+    return m_Ledger.giveBack(Organisation, Units, EventLoop::now());
   ask(Organisation, {.m_Units = -Units}, {});
 }
 
@@ -185,102 +196,104 @@
 }
 
 void QuotaExchange::ask(const std::string &Organisation,
-                        const QuotaRequest &Request, QuotaDesk::Done Callback) {
+                        const QuotaRequest &Request,
+                        QuotaService::Done Callback) {
   const std::uint64_t Id = ++m_LastId;
-  m_AskedAt = EventLoop::now();
-  m_Asked[Id] = {.m_Organisation = Organisation,
-                 .m_Request = Request,
-                 .m_Done = std::move(Callback),
-                 .m_Relays = {},
-                 .m_Since = EventLoop::now(),
-                 .m_Timer = Timer()};
-  sendAsk(Id);
+  m_LastAskedAt = EventLoop::now();
+  m_Queries[Id] = {.m_Organisation = Organisation,
+                   .m_Request = Request,
+                   .m_Done = std::move(Callback),
+                   .m_Relays = {},
+                   .m_Since = EventLoop::now(),
+                   .m_Timer = Timer()};
+  sendQuery(Id);
 }
 
-void QuotaExchange::sendAsk(std::uint64_t Id) {
-  Asked &Of = m_Asked.at(Id);
-  const BoxName To = nextRelay(Of.m_Relays);
-  Of.m_Timer = m_Loop.after(AnswerWithin, [this, Id] { unanswered(Id); });
-  // All have been asked: they may be asked again.
+void QuotaExchange::sendQuery(std::uint64_t Id) {
+  Query &Pending = m_Queries.at(Id);
+  const BoxName To = nextRelay(Pending.m_Relays);
+  Pending.m_Timer = m_Loop.after(AnswerTimeout, [this, Id] { onTimeout(Id); });
+  // All relays have been asked; they may be asked again.
   if (To.empty())
-    return Of.m_Relays.clear();
-  Of.m_Relays.insert(To);
+    return Pending.m_Relays.clear();
+  Pending.m_Relays.insert(To);
   m_Fleet.send(To, QuotaAskFrame{.m_Id = Id,
-                                 .m_Organisation = Of.m_Organisation,
-                                 .m_Request = Of.m_Request,
-                                 .m_Used = !Of.m_Done});
+                                 .m_Organisation = Pending.m_Organisation,
+                                 .m_Request = Pending.m_Request,
+                                 .m_Used = !Pending.m_Done});
 }
 
-void QuotaExchange::unanswered(std::uint64_t Id) {
-  const auto Found = m_Asked.find(Id);
-  if (Found == m_Asked.end())
+void QuotaExchange::onTimeout(std::uint64_t Id) {
+  const auto Found = m_Queries.find(Id);
+  if (Found == m_Queries.end())
     return;
-  if (EventLoop::now() - Found->second.m_Since < GiveUpAfter)
-    return sendAsk(Id);
-  const Asked Of = std::move(Found->second);
-  m_Asked.erase(Found);
-  if (Of.m_Request.m_Units != 0)
-    m_Log.write("quota_unanswered", {{"organisation", Of.m_Organisation},
-                                     {"units", Of.m_Request.m_Units},
-                                     {"used", !Of.m_Done}});
-  if (Of.m_Done)
-    Of.m_Done(std::nullopt);
+  if (EventLoop::now() - Found->second.m_Since < QueryTimeout)
+    return sendQuery(Id);
+  const Query Pending = std::move(Found->second);
+  m_Queries.erase(Found);
+  if (Pending.m_Request.m_Units != 0)
+    m_Log.write("quota_unanswered", {{"organisation", Pending.m_Organisation},
+                                     {"units", Pending.m_Request.m_Units},
+                                     {"used", !Pending.m_Done}});
+  if (Pending.m_Done)
+    Pending.m_Done(std::nullopt);
 }
 
 void QuotaExchange::onFrame(const BoxName &From, const PeerFrame &Frame) {
   std::visit(
       [&](const auto &Each) {
-        if constexpr (requires { take(From, Each); })
-          take(From, Each);
+        if constexpr (requires { receive(From, Each); })
+          receive(From, Each);
       },
       Frame);
 }
 
-void QuotaExchange::take(const BoxName &From, const QuotaAskFrame &Frame) {
-  // The asker tries another one.
-  if (!m_Counts)
+void QuotaExchange::receive(const BoxName &From, const QuotaAskFrame &Frame) {
+  // The leaf asks another relay after a timeout.
+  if (!m_KeepsLedger)
     return;
   const TimePoint Now = EventLoop::now();
   const QuotaVerdict Verdict =
       Frame.m_Used
-          ? m_Book.spend(Frame.m_Organisation, Frame.m_Request.m_Units, Now)
-          : m_Book.trySpend(Frame.m_Organisation, Frame.m_Request, Now);
+          ? m_Ledger.spend(Frame.m_Organisation, Frame.m_Request.m_Units, Now)
+          : m_Ledger.trySpend(Frame.m_Organisation, Frame.m_Request, Now);
   m_Fleet.send(From,
                QuotaAnswerFrame{.m_Id = Frame.m_Id, .m_Verdict = Verdict});
 }
 
-void QuotaExchange::take(const BoxName &From, const QuotaAnswerFrame &Frame) {
+void QuotaExchange::receive(const BoxName &From,
+                            const QuotaAnswerFrame &Frame) {
   const TimePoint Now = EventLoop::now();
   m_AnsweredAt = Now;
-  const auto Found = m_Asked.find(Frame.m_Id);
-  // Another relay was quicker, or the question was given up. What was granted
-  // twice is lost to the organisation, which errs on the safe side.
-  if (Found == m_Asked.end())
+  const auto Found = m_Queries.find(Frame.m_Id);
+  // Another relay answered first, or the query timed out. Units that were
+  // granted twice are lost to the organisation, which never exceeds the quota.
+  if (Found == m_Queries.end())
     return;
   m_Relay = From;
   if (Frame.m_Verdict.m_Step == QuotaStep::Wait) {
-    Asked &Waits = Found->second;
-    Waits.m_Request = afterWait(Waits.m_Request, Frame.m_Verdict.m_After);
-    Waits.m_Relays.clear();
-    Waits.m_Since = Now + Frame.m_Verdict.m_After;
-    Waits.m_Timer = m_Loop.after(Frame.m_Verdict.m_After,
-                                 [this, Id = Frame.m_Id] { sendAsk(Id); });
+    Query &Pending = Found->second;
+    Pending.m_Request = afterWait(Pending.m_Request, Frame.m_Verdict.m_After);
+    Pending.m_Relays.clear();
+    Pending.m_Since = Now + Frame.m_Verdict.m_After;
+    Pending.m_Timer = m_Loop.after(Frame.m_Verdict.m_After,
+                                   [this, Id = Frame.m_Id] { sendQuery(Id); });
     return;
   }
-  const Asked Of = std::move(Found->second);
-  m_Asked.erase(Found);
+  const Query Pending = std::move(Found->second);
+  m_Queries.erase(Found);
   if (Frame.m_Verdict.m_Ample)
-    m_AmpleUntil[Of.m_Organisation] = Now + AmpleFor;
+    m_AmpleUntil[Pending.m_Organisation] = Now + AmpleValidity;
   else
-    m_AmpleUntil.erase(Of.m_Organisation);
-  if (Of.m_Done)
-    Of.m_Done(Frame.m_Verdict);
+    m_AmpleUntil.erase(Pending.m_Organisation);
+  if (Pending.m_Done)
+    Pending.m_Done(Frame.m_Verdict);
 }
 
-void QuotaExchange::take(const BoxName &From, const QuotaUseFrame &Frame) {
-  if (m_Counts)
-    m_Book.told(From, Frame.m_Boxes, Frame.m_Settled, Frame.m_Words,
-                EventLoop::now());
+void QuotaExchange::receive(const BoxName &From, const QuotaUseFrame &Frame) {
+  if (m_KeepsLedger)
+    m_Ledger.told(From, Frame.m_Boxes, Frame.m_Settled, Frame.m_Words,
+                  EventLoop::now());
 }
 
 } // namespace havenstair
--- a/packages/gateway/process/QuotaExchange.h
+++ b/packages/gateway/process/QuotaExchange.h
@@ -1,12 +1,12 @@
 /// \file
-/// How boxes keep one limit for each organisation together.
+/// Enforces one quota for each organisation across all boxes.
 /// See docs/design/quotas.md.
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_QUOTAEXCHANGE_H
 #define HAVENSTAIR_GATEWAY_PROCESS_QUOTAEXCHANGE_H
 
 #include "decisions/process/BoxCensus.h"
 #include "decisions/process/QuotaBook.h"
-#include "gateway/request/QuotaDesk.h"
+#include "gateway/request/QuotaService.h"
 #include "wire/common/EventLoop.h"
 #include "wire/connection/PeerFrames.h"
 #include <cstdint>
@@ -21,15 +21,17 @@
 class DecisionLog;
 class Fleet;
 
-/// Relays count, and tell each other. A leaf asks a relay of its data centre
-/// before it sends a request of an organisation whose quota is nearly used up;
-/// otherwise it sends at once and tells a relay. A leaf that no relay has
-/// answered for some time uses its own part of each quota.
-class QuotaExchange : public QuotaDesk {
+/// Counts how much of each quota is used, together with the other boxes. Relays
+/// keep the ledger and send their usage to each other. A leaf asks a relay of
+/// its data centre before it sends a request of an organisation whose quota is
+/// nearly used up; otherwise it sends at once and reports the units to a relay.
+/// A leaf that no relay has answered for some time enforces its own share of
+/// each quota.
+class QuotaExchange : public QuotaService {
 public:
   struct Hooks {
-    /// Boxes that this one counts for, besides itself.
-    std::function<std::size_t()> m_Leaves;
+    /// \returns the number of leaves that this relay counts for.
+    std::function<std::size_t()> m_LeafCount;
   };
 
   QuotaExchange(EventLoop &Loop, Fleet &Boxes, DecisionLog &Log,
@@ -37,66 +39,72 @@
   QuotaExchange(const QuotaExchange &) = delete;
   QuotaExchange &operator=(const QuotaExchange &) = delete;
 
+  /// Sets by how much use may exceed a quota.
   void setTolerance(const QuotaTolerance &Tolerance);
+  /// Takes over the quotas of all organisations.
   void configure(const std::vector<Organisation> &All);
-  /// The list of boxes has changed, or the topology.
+  /// Called when the list of boxes or the topology has changed.
   void boxesChanged();
 
-  void take(const std::string &Organisation, const QuotaRequest &Request,
-            Done Callback) override;
+  void acquire(const std::string &Organisation, const QuotaRequest &Request,
+               Done Callback) override;
   void giveBack(const std::string &Organisation, double Units) override;
 
+  /// Handles the quota frames among those that \p From sends.
   void onFrame(const BoxName &From, const PeerFrame &Frame);
 
 private:
-  /// A question that a relay has not answered yet.
-  struct Asked {
+  /// A query that no relay has answered yet.
+  struct Query {
     std::string m_Organisation;
     QuotaRequest m_Request;
-    QuotaDesk::Done m_Done;     ///< Empty when the units are used already.
-    std::set<BoxName> m_Relays; ///< That have been asked.
+    QuotaService::Done m_Done;  ///< Empty to report units already used.
+    std::set<BoxName> m_Relays; ///< Relays that have been asked.
     TimePoint m_Since{};
     Timer m_Timer;
   };
 
-  std::size_t counted() const;
-  bool counts() const;
+  std::size_t boxesCountedFor() const;
+  bool keepsLedger() const;
   void decide(const std::string &Organisation, const QuotaRequest &Request,
-              const QuotaDesk::Done &Callback);
+              const QuotaService::Done &Callback);
   void tick();
-  void tell(bool All);
+  void sendUsage(bool All);
   void logAccounts();
   void setBoxes(TimePoint Now);
-  bool alone(TimePoint Now) const;
+  bool isolated(TimePoint Now) const;
   BoxName nextRelay(const std::set<BoxName> &Tried) const;
-  /// Without a callback, units that are used already are told.
+  /// Without a callback, reports units that are already used.
   void ask(const std::string &Organisation, const QuotaRequest &Request,
-           QuotaDesk::Done Callback);
-  void sendAsk(std::uint64_t Id);
-  void unanswered(std::uint64_t Id);
+           QuotaService::Done Callback);
+  void sendQuery(std::uint64_t Id);
+  void onTimeout(std::uint64_t Id);
 
-  void take(const BoxName &From, const QuotaAskFrame &Frame);
-  void take(const BoxName &From, const QuotaAnswerFrame &Frame);
-  void take(const BoxName &From, const QuotaUseFrame &Frame);
+  void receive(const BoxName &From, const QuotaAskFrame &Frame);
+  void receive(const BoxName &From, const QuotaAnswerFrame &Frame);
+  void receive(const BoxName &From, const QuotaUseFrame &Frame);
 
   EventLoop &m_Loop;
   Fleet &m_Fleet;
   DecisionLog &m_Log;
   Hooks m_Hooks;
-  QuotaBook m_Book;
+  QuotaBook m_Ledger;
   BoxCensus m_Census;
-  bool m_BoxesKnown = false; ///< Before, any part would be a guess.
-  bool m_Counts = false;
+  /// The list of boxes has been read. Without it, an own share would be a
+  /// guess.
+  bool m_BoxesKnown = false;
+  bool m_KeepsLedger = false; ///< This box is a relay.
   std::uint64_t m_LastId = 0;
-  std::map<std::uint64_t, Asked> m_Asked;
-  /// Organisations far below their quota, and until when that is believed.
+  std::map<std::uint64_t, Query> m_Queries;
+  /// Organisations far below their quota, with the time until which that
+  /// information is valid.
   std::map<std::string, TimePoint> m_AmpleUntil;
-  BoxName m_Relay; ///< The one that answered last.
-  TimePoint m_AnsweredAt{};
-  TimePoint m_AskedAt{};
+  BoxName m_Relay;          ///< The relay that answered last.
+  TimePoint m_AnsweredAt{}; ///< When a relay last answered.
+  TimePoint m_LastAskedAt{};
   int m_Ticks = 0;
   std::uint64_t m_LastWait = 0;
-  std::map<std::uint64_t, Timer> m_Waiting; ///< For their units.
+  std::map<std::uint64_t, Timer> m_Waiting; ///< Requests that wait for units.
   Timer m_TickTimer;
   Timer m_AccountTimer;
 };
--- /dev/null
+++ b/packages/gateway/process/UpstreamSignalExchange.cpp
@@ -0,0 +1,172 @@
+#include "gateway/process/UpstreamSignalExchange.h"
+
+#include "gateway/common/DecisionLog.h"
+#include "gateway/process/Fleet.h"
+#include <utility>
+#include <variant>
+
+namespace havenstair {
+
+namespace {
+
+/// Changed limits are sent after this time, together: an upstream may state
+/// another value in each answer.
+constexpr Duration BatchInterval = 100ms;
+
+std::optional<NamedLimit> copied(const NamedLimit *Limit) {
+  return Limit == nullptr ? std::nullopt : std::optional(*Limit);
+}
+
+} // namespace
+
+UpstreamSignalExchange::UpstreamSignalExchange(EventLoop &Loop, Fleet &Boxes,
+                                               ServingView &View,
+                                               ServerWords &Signals,
+                                               DecisionLog &Log,
+                                               Hooks Callbacks)
+    : m_Loop(Loop), m_Fleet(Boxes), m_View(View), m_Signals(Signals),
+      m_Log(Log), m_Hooks(std::move(Callbacks)) {}
+
+void UpstreamSignalExchange::recordSignals(const UpstreamLife &Upstream,
+                                           const AnswerFacts &Answer,
+                                           TimePoint SentAt) {
+  const bool Other =
+      Answer.m_Misdirected ||
+      (!Answer.m_Instance.empty() && Answer.m_Instance != Upstream.m_Id);
+  if (Other || m_View.past(Upstream))
+    return;
+  recordLimit(Upstream, Answer, SentAt);
+  if (Answer.m_Leaving)
+    recordLeaving(Upstream);
+  recordRetryAfter(Upstream, Answer);
+}
+
+/// Not sent to other boxes: the upstream rejects their requests itself.
+void UpstreamSignalExchange::recordRetryAfter(const UpstreamLife &Upstream,
+                                              const AnswerFacts &Answer) {
+  if (Answer.m_BadRetryAfter)
+    m_Log.write("bad_retry_after", {{"upstream", Upstream.m_Id}});
+  if (Answer.m_RetryAfter &&
+      m_Signals.heardRetryAfter(Upstream, *Answer.m_RetryAfter,
+                                EventLoop::now()))
+    m_Log.write("server_retry_after", {{"upstream", Upstream.m_Id},
+                                       {"born", Upstream.m_Born},
+                                       {"for_ms", *Answer.m_RetryAfter / 1ms}});
+}
+
+void UpstreamSignalExchange::recordLeaving(const UpstreamLife &Upstream) {
+  if (!m_View.past(Upstream) && noteLeaving(Upstream, m_Fleet.self()))
+    m_Fleet.sendAll(signalFrame(Upstream));
+}
+
+/// \returns whether it was not known before.
+bool UpstreamSignalExchange::noteLeaving(const UpstreamLife &Upstream,
+                                         const BoxName &By) {
+  const TimePoint Now = EventLoop::now();
+  if (!m_Signals.heardLeaving(Upstream, By, Now))
+    return false;
+  m_Log.write("server_leaving", {{"upstream", Upstream.m_Id},
+                                 {"born", Upstream.m_Born},
+                                 {"by", By.str()}});
+  m_View.saidLeaving(Upstream, Now);
+  m_Hooks.m_UpstreamLeaving();
+  return true;
+}
+
+void UpstreamSignalExchange::recordLimit(const UpstreamLife &Upstream,
+                                         const AnswerFacts &Answer,
+                                         TimePoint SentAt) {
+  if (Answer.m_BadLimit) {
+    m_Log.write("bad_server_limit", {{"upstream", Upstream.m_Id}});
+    return;
+  }
+  const auto Before = copied(m_Signals.limit(Upstream.m_Id));
+  const LimitChange Change = m_Signals.heardLimit(
+      Upstream, Answer.m_Limit, m_Fleet.self(), SentAt, EventLoop::now());
+  noteLimit(Upstream, Change, Before, m_Fleet.self());
+  if (Change == LimitChange::Altered)
+    return sendLater(Upstream);
+  if (Change == LimitChange::None)
+    return;
+  ServerWordFrame Signal = signalFrame(Upstream);
+  Signal.m_LimitEnded = Change == LimitChange::Ended;
+  m_Fleet.sendAll(Signal);
+}
+
+void UpstreamSignalExchange::noteLimit(const UpstreamLife &Upstream,
+                                       LimitChange Change,
+                                       const std::optional<NamedLimit> &Before,
+                                       const BoxName &By) {
+  if (Change == LimitChange::None)
+    return;
+  const NamedLimit *After = m_Signals.limit(Upstream.m_Id);
+  const TimePoint Now = EventLoop::now();
+  m_Log.write(
+      "server_limit",
+      {{"upstream", Upstream.m_Id},
+       {"born", Upstream.m_Born},
+       {"change", toString(Change)},
+       {"per_s", After != nullptr ? Json(After->m_PerS) : Json()},
+       {"before", Before ? Json(Before->m_PerS) : Json()},
+       {"for_ms", Before ? Json((Now - Before->m_Since) / 1ms) : Json()},
+       {"by", By.str()}});
+  m_Hooks.m_LimitsChanged();
+}
+
+ServerWordFrame
+UpstreamSignalExchange::signalFrame(const UpstreamLife &Upstream) const {
+  ServerWordFrame Result{.m_Life = Upstream};
+  if (const NamedLimit *Limit = m_Signals.limit(Upstream.m_Id)) {
+    Result.m_LimitPerS = Limit->m_PerS;
+    Result.m_LimitAge = EventLoop::now() - Limit->m_Since;
+  }
+  Result.m_Leaving = m_Signals.leaving().contains(Upstream);
+  return Result;
+}
+
+void UpstreamSignalExchange::sendLater(const UpstreamLife &Upstream) {
+  m_Altered.insert(Upstream);
+  if (m_Altered.size() == 1)
+    m_SendTimer = m_Loop.after(BatchInterval, [this] { sendAltered(); });
+}
+
+void UpstreamSignalExchange::sendAltered() {
+  for (const UpstreamLife &Each : std::exchange(m_Altered, {}))
+    m_Fleet.sendAll(signalFrame(Each));
+}
+
+void UpstreamSignalExchange::linkUp(const BoxName &Box) {
+  std::set<UpstreamLife> All;
+  for (const auto &[Upstream, Limit] : m_Signals.limits())
+    All.insert(Upstream);
+  for (const auto &[Upstream, Said] : m_Signals.leaving())
+    All.insert(Upstream);
+  for (const UpstreamLife &Each : All)
+    m_Fleet.send(Box, signalFrame(Each));
+}
+
+void UpstreamSignalExchange::sendNoLimit(const BoxName &Box,
+                                         const UpstreamLife &Upstream) {
+  ServerWordFrame Signal = signalFrame(Upstream);
+  Signal.m_LimitEnded = true;
+  m_Fleet.send(Box, Signal);
+}
+
+void UpstreamSignalExchange::onFrame(const BoxName &From,
+                                     const PeerFrame &Frame) {
+  const auto *Signal = std::get_if<ServerWordFrame>(&Frame);
+  if (Signal == nullptr || m_View.past(Signal->m_Life))
+    return;
+  LimitChange Change = LimitChange::None;
+  if (Signal->m_LimitPerS || Signal->m_LimitEnded) {
+    const auto Before = copied(m_Signals.limit(Signal->m_Life.m_Id));
+    Change = m_Signals.toldLimit(Signal->m_Life, Signal->m_LimitPerS, From,
+                                 Signal->m_LimitAge, EventLoop::now());
+    noteLimit(Signal->m_Life, Change, Before, From);
+  }
+  const bool Leaves = Signal->m_Leaving && noteLeaving(Signal->m_Life, From);
+  if (Change != LimitChange::None || Leaves)
+    m_Fleet.passOn(*Signal, From);
+}
+
+} // namespace havenstair
--- /dev/null
+++ b/packages/gateway/process/UpstreamSignalExchange.h
@@ -0,0 +1,75 @@
+/// \file
+/// Shares between boxes what upstreams report about themselves in answers.
+/// See docs/design/server-words.md.
+#ifndef HAVENSTAIR_GATEWAY_PROCESS_UPSTREAMSIGNALEXCHANGE_H
+#define HAVENSTAIR_GATEWAY_PROCESS_UPSTREAMSIGNALEXCHANGE_H
+
+#include "decisions/process/ServerWords.h"
+#include "decisions/process/ServingView.h"
+#include "gateway/request/UpstreamSignalService.h"
+#include "wire/common/EventLoop.h"
+#include "wire/connection/PeerFrames.h"
+#include <functional>
+#include <optional>
+#include <set>
+
+namespace havenstair {
+
+class DecisionLog;
+class Fleet;
+
+/// Records the signals that this box receives from upstreams, and sends the
+/// changes to all boxes. A box that has just been linked is sent all signals
+/// that are in force.
+class UpstreamSignalExchange : public UpstreamSignalService {
+public:
+  struct Hooks {
+    /// Called when rate limits have begun, ended or changed.
+    std::function<void()> m_LimitsChanged;
+    /// Called when an upstream has newly reported that it leaves.
+    std::function<void()> m_UpstreamLeaving;
+  };
+
+  UpstreamSignalExchange(EventLoop &Loop, Fleet &Boxes, ServingView &View,
+                         ServerWords &Signals, DecisionLog &Log,
+                         Hooks Callbacks);
+
+  void recordSignals(const UpstreamLife &Upstream, const AnswerFacts &Answer,
+                     TimePoint SentAt) override;
+
+  /// Records that \p Upstream leaves, as it reported in an answer to something
+  /// else than a request.
+  void recordLeaving(const UpstreamLife &Upstream);
+  /// Sends all signals that are in force to \p Box, which has just been linked.
+  void linkUp(const BoxName &Box);
+  /// Tells \p Box, which assumes a limit, that \p Upstream sets none.
+  void sendNoLimit(const BoxName &Box, const UpstreamLife &Upstream);
+  /// Handles the signal frames among those that \p From sends.
+  void onFrame(const BoxName &From, const PeerFrame &Frame);
+
+private:
+  bool noteLeaving(const UpstreamLife &Upstream, const BoxName &By);
+  void recordRetryAfter(const UpstreamLife &Upstream,
+                        const AnswerFacts &Answer);
+  void recordLimit(const UpstreamLife &Upstream, const AnswerFacts &Answer,
+                   TimePoint SentAt);
+  void noteLimit(const UpstreamLife &Upstream, LimitChange Change,
+                 const std::optional<NamedLimit> &Before, const BoxName &By);
+  ServerWordFrame signalFrame(const UpstreamLife &Upstream) const;
+  void sendLater(const UpstreamLife &Upstream);
+  void sendAltered();
+
+  EventLoop &m_Loop;
+  Fleet &m_Fleet;
+  ServingView &m_View;
+  ServerWords &m_Signals;
+  DecisionLog &m_Log;
+  Hooks m_Hooks;
+  /// Upstreams whose limits have changed in value since the last send.
+  std::set<UpstreamLife> m_Altered;
+  Timer m_SendTimer;
+};
+
+} // namespace havenstair
+
+#endif
--- a/packages/gateway/request/CrashGuard.cpp
+++ b/packages/gateway/request/CrashGuard.cpp
@@ -7,26 +7,28 @@
 
 namespace {
 
-/// A server ends some 100 ms after the request was sent, and boxes hear of it
-/// in as long: of tries that come four a second, one or two go in that time
-/// when each is put off by a drawn part of this.
-constexpr Duration LongestPause = 2s;
+/// Upper limit of the random delay of a send. An upstream crashes about 100 ms
+/// after the request was sent, and boxes receive that in as long again: of
+/// tries that come at four a second, one or two are sent in that time.
+constexpr Duration MaxRetryDelay = 2s;
 
 } // namespace
 
-std::optional<Duration> CrashGuard::hold(TimePoint Now) const {
-  const std::shared_ptr<CrashDesk> Desk = m_Desk.lock();
-  return Desk ? Desk->hold(m_Request, Now) : std::nullopt;
+std::optional<Duration> CrashGuard::holdTime(TimePoint Now) const {
+  const std::shared_ptr<CrashService> Service = m_Service.lock();
+  return Service ? Service->holdTime(m_Request, Now) : std::nullopt;
 }
 
-void CrashGuard::keepApart(std::vector<const UpstreamInstance *> &Candidates,
-                           bool Broke, TimePoint Now) const {
-  const bool Several = m_Book.suspicious(m_Request, Now);
-  const std::size_t Left = Several ? 1 : (Candidates.size() + 1) / 2;
-  if (Candidates.size() < 2 ||
-      !(Several || Broke || m_Book.crashes(m_Request, Now) > 0))
+void CrashGuard::narrowCandidates(
+    std::vector<const UpstreamInstance *> &Candidates, bool ConnectionBroke,
+    TimePoint Now) const {
+  const bool SeveralCrashes = m_Tracker.suspicious(m_Request, Now);
+  const std::size_t Left = SeveralCrashes ? 1 : (Candidates.size() + 1) / 2;
+  if (Candidates.size() < 2 || !(SeveralCrashes || ConnectionBroke ||
+                                 m_Tracker.crashes(m_Request, Now) > 0))
     return;
-  // By rendezvous, so that boxes need not tell each other who is where.
+  // Rendezvous hashing lets all boxes choose the same upstreams without
+  // communication.
   const auto Weight = [&](const UpstreamInstance *Each) {
     return stableHash(Each->m_Id, m_Request.str());
   };
@@ -36,38 +38,42 @@
   Candidates.resize(Left);
 }
 
-std::optional<Duration> CrashGuard::pause(double Random, Duration TimeLeft,
-                                          TimePoint Now) {
-  if (!m_Book.doubtful(m_Request, Now) && !m_Book.suspicious(m_Request, Now))
+std::optional<Duration> CrashGuard::retryDelay(double Random, Duration TimeLeft,
+                                               TimePoint Now) {
+  if (!m_Tracker.doubtful(m_Request, Now) &&
+      !m_Tracker.suspicious(m_Request, Now))
     return std::nullopt;
-  if (!m_PausedUntil) {
-    const Duration Within = std::min(LongestPause, TimeLeft / 2);
-    m_PausedUntil = Now + Duration(static_cast<Duration::rep>(
-                              Random * static_cast<double>(Within.count())));
+  if (!m_DelayedUntil) {
+    const Duration Within = std::min(MaxRetryDelay, TimeLeft / 2);
+    m_DelayedUntil = Now + Duration(static_cast<Duration::rep>(
+                               Random * static_cast<double>(Within.count())));
   }
-  if (Now < *m_PausedUntil)
-    return *m_PausedUntil - Now;
-  m_PausedUntil.reset();
+  if (Now < *m_DelayedUntil)
+    return *m_DelayedUntil - Now;
+  m_DelayedUntil.reset();
   return std::nullopt;
 }
 
-/// A stream that had run for seconds would else be taken along from end to end,
-/// barred for them, and what had ended the servers be excused.
-void CrashGuard::broke(const UpstreamLife &Server,
-                       std::optional<TimePoint> Started, TimePoint Now) const {
-  const bool Blameless = Started && Now - *Started >= LivesOnFor;
-  if (const std::shared_ptr<CrashDesk> Desk = m_Desk.lock())
-    Desk->broke(Server, Blameless ? std::nullopt : std::optional(m_Request));
+/// A stream that had run for seconds is not blamed: it would otherwise be on
+/// one crashed upstream after the other and be quarantined, and the request
+/// that caused the crashes would be exonerated.
+void CrashGuard::onConnectionBroken(const UpstreamLife &Upstream,
+                                    std::optional<TimePoint> Started,
+                                    TimePoint Now) const {
+  const bool Blameless = Started && Now - *Started >= BlameWindow;
+  if (const std::shared_ptr<CrashService> Service = m_Service.lock())
+    Service->onConnectionBroken(Upstream, Blameless ? std::nullopt
+                                                    : std::optional(m_Request));
 }
 
-void CrashGuard::unreachable(const UpstreamLife &Server) const {
-  if (const std::shared_ptr<CrashDesk> Desk = m_Desk.lock())
-    Desk->unreachable(Server);
+void CrashGuard::onConnectFailed(const UpstreamLife &Upstream) const {
+  if (const std::shared_ptr<CrashService> Service = m_Service.lock())
+    Service->onConnectFailed(Upstream);
 }
 
-void CrashGuard::ranWell(const UpstreamLife &Server) const {
-  if (const std::shared_ptr<CrashDesk> Desk = m_Desk.lock())
-    Desk->ranWell(Server, m_Request);
+void CrashGuard::onCompleted(const UpstreamLife &Upstream) const {
+  if (const std::shared_ptr<CrashService> Service = m_Service.lock())
+    Service->onCompleted(Upstream, m_Request);
 }
 
 } // namespace havenstair
--- a/packages/gateway/request/CrashGuard.h
+++ b/packages/gateway/request/CrashGuard.h
@@ -1,60 +1,73 @@
 /// \file
-/// One request's part in the ends of servers.
+/// Protects upstreams from one request that may crash them.
 #ifndef HAVENSTAIR_GATEWAY_REQUEST_CRASHGUARD_H
 #define HAVENSTAIR_GATEWAY_REQUEST_CRASHGUARD_H
 
 #include "decisions/process/CrashBook.h"
 #include "decisions/process/UpstreamInstance.h"
-#include "gateway/request/CrashDesk.h"
+#include "gateway/request/CrashService.h"
 #include <memory>
 #include <optional>
 #include <vector>
 
 namespace havenstair {
 
-/// Knows the request by its content, which stays the same from try to try.
+/// Reports the crashes that one request is involved in, and limits where and
+/// when it is sent. The request is identified by a digest of its content, which
+/// stays the same when the caller retries.
 class CrashGuard {
 public:
-  /// A server that lives on for as long after it began to answer a request, or
-  /// has run it, did not end by it. It may end by one that it has answered:
-  /// what it still does for it, such as keeping its prompt, takes milliseconds.
-  static constexpr Duration LivesOnFor = 1s;
+  /// An upstream that is still up this long after it began to answer a request,
+  /// or completed it, was not crashed by it. A crash shortly after the answer
+  /// may still be due to the request: what the upstream does for it afterwards,
+  /// such as caching its prompt, takes milliseconds.
+  static constexpr Duration BlameWindow = 1s;
 
-  /// The desk may end before the request does.
-  CrashGuard(RequestDigest Request, const CrashBook &Book,
-             std::weak_ptr<CrashDesk> Desk)
-      : m_Request(std::move(Request)), m_Book(Book), m_Desk(std::move(Desk)) {}
+  /// \p Service may be destroyed before the request ends.
+  CrashGuard(RequestDigest Request, const CrashBook &Tracker,
+             std::weak_ptr<CrashService> Service)
+      : m_Request(std::move(Request)), m_Tracker(Tracker),
+        m_Service(std::move(Service)) {}
 
+  /// \returns the digest of the request's content.
   const RequestDigest &digest() const { return m_Request; }
-  /// Null while it may be sent.
-  const RequestBar *bar(TimePoint Now) const {
-    return m_Book.bar(m_Request, Now);
+  /// \returns the quarantine of the request, or null if it may be sent.
+  const RequestBar *quarantine(TimePoint Now) const {
+    return m_Tracker.bar(m_Request, Now);
   }
-  /// How long it waits before it is sent; none when it need not.
-  std::optional<Duration> hold(TimePoint Now) const;
-  /// Leaves some of \p Candidates when a server has ended under the request, or
-  /// broke its connection (\p Broke), and one when several have. Requests that
-  /// were on the same server are then on others, so that the next end tells
-  /// them apart and takes fewer of them along.
-  void keepApart(std::vector<const UpstreamInstance *> &Candidates, bool Broke,
-                 TimePoint Now) const;
-  /// How long to wait before the next send when servers have ended under the
-  /// request twice. \p Random is from 0 to 1. Of many tries one goes first, and
-  /// the others are spared if it ends one more.
-  std::optional<Duration> pause(double Random, Duration TimeLeft,
-                                TimePoint Now);
-  /// Its connection to \p Server broke, which had begun to answer it at
-  /// \p Started.
-  void broke(const UpstreamLife &Server, std::optional<TimePoint> Started,
-             TimePoint Now) const;
-  void unreachable(const UpstreamLife &Server) const;
-  void ranWell(const UpstreamLife &Server) const;
+  /// \returns how long the request has to wait before it is sent; empty if it
+  /// need not wait.
+  std::optional<Duration> holdTime(TimePoint Now) const;
+  /// Reduces \p Candidates to a subset if an upstream has crashed under the
+  /// request or its last connection broke (\p ConnectionBroke), and to one
+  /// candidate if several upstreams have crashed. Requests that shared a
+  /// crashed upstream are thereby sent to different ones, so that the next
+  /// crash tells them apart and affects fewer of them.
+  void narrowCandidates(std::vector<const UpstreamInstance *> &Candidates,
+                        bool ConnectionBroke, TimePoint Now) const;
+  /// \returns how long to wait before the next send if two upstreams or more
+  /// have crashed under the request; empty if there is no need to wait. The
+  /// delay is random, so that one of many concurrent tries goes first and the
+  /// others are held back if it causes one more crash. \p Random is from 0 to
+  /// 1.
+  std::optional<Duration> retryDelay(double Random, Duration TimeLeft,
+                                     TimePoint Now);
+  /// Reports that the request's connection to \p Upstream broke. \p Started is
+  /// when the upstream began to answer; empty if it had not.
+  void onConnectionBroken(const UpstreamLife &Upstream,
+                          std::optional<TimePoint> Started,
+                          TimePoint Now) const;
+  /// Reports that no connection to \p Upstream could be established.
+  void onConnectFailed(const UpstreamLife &Upstream) const;
+  /// Reports that \p Upstream ran the request completely and answered with
+  /// success.
+  void onCompleted(const UpstreamLife &Upstream) const;
 
 private:
   RequestDigest m_Request;
-  const CrashBook &m_Book;
-  std::weak_ptr<CrashDesk> m_Desk;
-  std::optional<TimePoint> m_PausedUntil;
+  const CrashBook &m_Tracker;
+  std::weak_ptr<CrashService> m_Service;
+  std::optional<TimePoint> m_DelayedUntil; ///< End of the current retry delay.
 };
 
 } // namespace havenstair
--- a/packages/gateway/request/OwnAnswer.cpp
+++ b/packages/gateway/request/FailureReply.cpp
@@ -1,4 +1,4 @@
-#include "gateway/request/OwnAnswer.h"
+#include "gateway/request/FailureReply.h"
 
 #include "wire/common/Json.h"
 #include <cstdio>
@@ -15,8 +15,8 @@
 
 } // namespace
 
-void answerFailure(const HttpExchangePtr &Exchange, const Failure &Reason,
-                   HttpHeaders Headers) {
+void replyWithFailure(const HttpExchangePtr &Exchange, const Failure &Reason,
+                      HttpHeaders Headers) {
   const ErrorAnswer &Answer = answerFor(Reason.m_Kind);
   Headers.push_back({"Content-Type", "application/json"});
   if (Answer.m_ComeBack && Reason.m_RetryAfter > 0us)
--- a/packages/gateway/request/Forwarder.cpp
+++ b/packages/gateway/request/Forwarder.cpp
@@ -2,7 +2,7 @@
 
 #include "decisions/request/CallerIdentity.h"
 #include "gateway/common/DecisionLog.h"
-#include "gateway/request/OwnAnswer.h"
+#include "gateway/request/FailureReply.h"
 #include "gateway/request/ProxiedRequest.h"
 
 #include <vector>
@@ -11,11 +11,11 @@
 
 namespace {
 
-/// When a caller may come back to a box that has no configuration yet.
-constexpr Duration UnconfiguredAway = 500ms;
+/// Time after which a caller should retry while this box has no configuration.
+constexpr Duration NotReadyRetryAfter = 500ms;
 
-/// How often requests that were kept too long are looked for.
-constexpr Duration LookForOverdue = 50ms;
+/// Interval at which expired requests in the startup queue are refused.
+constexpr Duration ExpiryCheckInterval = 50ms;
 
 } // namespace
 
@@ -24,13 +24,14 @@
                      Hooks Callbacks)
     : m_Loop(Loop), m_Client(Client), m_State(State),
       m_Dialect(std::move(Dialect)), m_Log(Log), m_Opts(Opts),
-      m_Hooks(std::move(Callbacks)), m_Early(EventLoop::now(), Opts.m_Early) {}
+      m_Hooks(std::move(Callbacks)),
+      m_StartupQueue(EventLoop::now(), Opts.m_StartupQueue) {}
 
 Forwarder::~Forwarder() = default;
 
 void Forwarder::refuseUnread(const HttpExchangePtr &Exchange,
                              const Failure &Reason, const std::string &Id) {
-  const ConfigVouch Config = m_Hooks.m_ConfigVouch(EventLoop::now());
+  const ConfigFreshness Config = m_Hooks.m_ConfigFreshness(EventLoop::now());
   m_Log.write("refused", {{"request", Id},
                           {"path", Exchange->path()},
                           {"reason", answerFor(Reason.m_Kind).m_Code},
@@ -40,10 +41,10 @@
                           {"config_by", Config.m_By.str()}});
   m_Hooks.m_Ended(
       {.m_Route = "none", .m_Outcome = answerFor(Reason.m_Kind).m_Code});
-  HttpHeaders Headers = m_Dialect.m_OwnAnswer(Id);
+  HttpHeaders Headers = m_Dialect.m_FailureHeaders(Id);
   if (Reason.m_Kind == ErrorKind::BadRequest)
     Headers.push_back({"Connection", "close"});
-  answerFailure(Exchange, Reason, std::move(Headers));
+  replyWithFailure(Exchange, Reason, std::move(Headers));
 }
 
 void Forwarder::refuse(const HttpExchangePtr &Exchange, const Failure &Reason) {
@@ -51,7 +52,7 @@
   try {
     Id = m_Dialect.m_Read(*Exchange).m_Id;
   } catch (const RequestError &) {
-    // It is refused all the same.
+    // The request is refused in any case; only its id is missing.
   }
   refuseUnread(Exchange, Reason, Id);
 }
@@ -65,45 +66,48 @@
   } catch (const RequestError &Error) {
     return refuseUnread(Exchange, Error.failure(), Request.m_Id);
   }
-  EarlyRequests::Item Item{.m_Exchange = Exchange,
-                           .m_Request = std::move(Request),
-                           .m_Arrived = EventLoop::now()};
+  StartupQueue::Item Item{.m_Exchange = Exchange,
+                          .m_Request = std::move(Request),
+                          .m_Arrived = EventLoop::now()};
   if (m_State.knowsAll())
     begin(std::move(Item));
   else
     keepOrRefuse(Item);
 }
 
-void Forwarder::keepOrRefuse(const EarlyRequests::Item &Item) {
+void Forwarder::keepOrRefuse(const StartupQueue::Item &Item) {
   const TimePoint Now = EventLoop::now();
-  if (!m_State.m_Stopping && m_Early.keep(Item, Now)) {
-    if (m_Early.size() == 1)
-      m_EarlyTimer = m_Loop.every(LookForOverdue, [this] { refuseOverdue(); });
+  if (!m_State.m_Stopping && m_StartupQueue.keep(Item, Now)) {
+    if (m_StartupQueue.size() == 1)
+      m_StartupTimer =
+          m_Loop.every(ExpiryCheckInterval, [this] { refuseExpired(); });
     return;
   }
-  refuseUnread(
-      Item.m_Exchange,
-      {.m_Kind = ErrorKind::NoConfiguration, .m_RetryAfter = UnconfiguredAway},
-      Item.m_Request.m_Id);
+  refuseUnread(Item.m_Exchange,
+               {.m_Kind = ErrorKind::NoConfiguration,
+                .m_RetryAfter = NotReadyRetryAfter},
+               Item.m_Request.m_Id);
 }
 
-void Forwarder::refuseOverdue() {
-  for (const EarlyRequests::Item &Each : m_Early.takeOverdue(EventLoop::now()))
+void Forwarder::refuseExpired() {
+  for (const StartupQueue::Item &Each :
+       m_StartupQueue.takeExpired(EventLoop::now()))
     if (Each.m_Exchange->open())
       refuseUnread(Each.m_Exchange,
                    {.m_Kind = ErrorKind::NoConfiguration,
-                    .m_RetryAfter = UnconfiguredAway},
+                    .m_RetryAfter = NotReadyRetryAfter},
                    Each.m_Request.m_Id);
 }
 
-void Forwarder::releaseEarly() {
-  if (m_Early.size() == 0 || (!m_State.knowsAll() && !m_State.m_Stopping))
+void Forwarder::releaseStartupQueue() {
+  if (m_StartupQueue.size() == 0 ||
+      (!m_State.knowsAll() && !m_State.m_Stopping))
     return;
-  m_EarlyTimer = Timer();
-  std::vector<EarlyRequests::Item> Kept = m_Early.takeAll();
+  m_StartupTimer = Timer();
+  std::vector<StartupQueue::Item> Kept = m_StartupQueue.takeAll();
   m_Log.write("early_requests",
               {{"requests", Kept.size()}, {"known", m_State.knowsAll()}});
-  for (EarlyRequests::Item &Each : Kept) {
+  for (StartupQueue::Item &Each : Kept) {
     if (!Each.m_Exchange->open())
       continue;
     if (m_State.knowsAll())
@@ -113,7 +117,7 @@
   }
 }
 
-void Forwarder::begin(EarlyRequests::Item Item) {
+void Forwarder::begin(StartupQueue::Item Item) {
   const HttpExchangePtr &Exchange = Item.m_Exchange;
   RequestDescriptor &Request = Item.m_Request;
   const Route *Found = m_State.m_Config->route(Request.m_Host, Request.m_Path);
@@ -123,7 +127,7 @@
   if (!m_State.m_Config->m_Organisations.empty() && !m_Hooks.m_MayTrustKeys())
     return refuseUnread(Exchange,
                         {.m_Kind = ErrorKind::NoConfiguration,
-                         .m_RetryAfter = UnconfiguredAway},
+                         .m_RetryAfter = NotReadyRetryAfter},
                         Request.m_Id);
   const CallerIdentity Caller =
       identifyCaller(*m_State.m_Config, *Found, Request.m_Caller);
--- a/packages/gateway/request/Forwarder.h
+++ b/packages/gateway/request/Forwarder.h
@@ -1,5 +1,5 @@
 /// \file
-/// Takes callers' requests and sends each to an upstream.
+/// Accepts callers' requests and forwards each to an upstream.
 #ifndef HAVENSTAIR_GATEWAY_REQUEST_FORWARDER_H
 #define HAVENSTAIR_GATEWAY_REQUEST_FORWARDER_H
 
@@ -7,14 +7,14 @@
 #include "decisions/request/PromptPace.h"
 #include "decisions/request/ReplicaAdmission.h"
 #include "decisions/request/ReplicaChoice.h"
-#include "gateway/common/ConfigVouch.h"
+#include "gateway/common/ConfigFreshness.h"
 #include "gateway/process/ServingState.h"
-#include "gateway/request/CrashDesk.h"
-#include "gateway/request/EarlyRequests.h"
-#include "gateway/request/PermitDesk.h"
-#include "gateway/request/QuotaDesk.h"
+#include "gateway/request/CrashService.h"
+#include "gateway/request/PermitService.h"
+#include "gateway/request/QuotaService.h"
 #include "gateway/request/RequestDialect.h"
-#include "gateway/request/ServerWordDesk.h"
+#include "gateway/request/StartupQueue.h"
+#include "gateway/request/UpstreamSignalService.h"
 #include "wire/common/EventLoop.h"
 #include "wire/common/HttpClient.h"
 #include "wire/common/HttpServer.h"
@@ -33,35 +33,40 @@
 /// How a request ended, for metrics.
 struct RequestResult {
   std::string m_Route;
-  std::string m_Organisation; ///< Empty for nobody's.
+  std::string m_Organisation; ///< Empty if the caller belongs to none.
   std::string_view m_Outcome; ///< "ok", or the code of an error kind.
-  Duration m_FirstByte = 0us; ///< Zero when there was none.
-  Duration m_Whole = 0us;
+  Duration m_FirstByte = 0us; ///< Time to the first byte; zero if none came.
+  Duration m_Whole = 0us;     ///< Time to the end of the answer.
 };
 
-/// Owner of all requests of the process that are under way.
+/// Owns all requests of the process that are in progress.
 class Forwarder {
 public:
-  /// When a caller may come back, to another box, while this one stops.
-  static constexpr Duration StoppingAway = 10ms;
+  /// Time after which a caller should retry, at another box, while this one
+  /// stops.
+  static constexpr Duration StoppingRetryAfter = 10ms;
 
   struct Options {
     ReplicaWeights m_Weights;
     AdmissionOptions m_Admission;
     Duration m_ConnectTimeout = 300ms;
     PaceOptions m_Pace;
-    EarlyRequests::Options m_Early;
-    std::size_t m_MaxAnswer = 16 << 20; ///< Bytes of a buffered answer.
+    StartupQueue::Options m_StartupQueue;
+    std::size_t m_MaxAnswerBytes = 16 << 20; ///< Of a buffered answer.
   };
   struct Hooks {
-    /// A request waits for a model or adapter that no upstream holds.
+    /// Called when a request waits for a model or adapter that no upstream
+    /// holds.
     std::function<void(const ModelKey &)> m_Missing;
+    /// Called when a caller's request has ended.
     std::function<void(const RequestResult &)> m_Ended;
+    /// Called when a send to an upstream has ended.
     std::function<void(std::string_view Outcome)> m_SendEnded;
-    /// Whether the configuration is new enough to tell whose a key is.
+    /// \returns whether the configuration is recent enough to decide which
+    /// organisation a key belongs to.
     std::function<bool()> m_MayTrustKeys;
-    std::function<ConfigVouch(TimePoint Now)> m_ConfigVouch;
-    std::function<double()> m_Random; ///< From 0 to 1.
+    std::function<ConfigFreshness(TimePoint Now)> m_ConfigFreshness;
+    std::function<double()> m_Random; ///< Random numbers from 0 to 1.
   };
 
   Forwarder(EventLoop &Loop, HttpClient &Client, ServingState &State,
@@ -71,36 +76,42 @@
   Forwarder(const Forwarder &) = delete;
   Forwarder &operator=(const Forwarder &) = delete;
 
-  /// Before the first request.
-  void setDesks(std::weak_ptr<QuotaDesk> Quotas,
-                std::weak_ptr<PermitDesk> Permits,
-                std::weak_ptr<CrashDesk> Crashes,
-                std::weak_ptr<ServerWordDesk> Words) {
+  /// Sets the services that requests use. To be called before the first
+  /// request.
+  void setServices(std::weak_ptr<QuotaService> Quotas,
+                   std::weak_ptr<PermitService> Permits,
+                   std::weak_ptr<CrashService> Crashes,
+                   std::weak_ptr<UpstreamSignalService> Signals) {
     m_Quotas = std::move(Quotas);
     m_Permits = std::move(Permits);
     m_Crashes = std::move(Crashes);
-    m_Words = std::move(Words);
+    m_Signals = std::move(Signals);
   }
+  /// Handles a caller's request.
   void handle(const HttpExchangePtr &Exchange);
-  /// Answers a request that is not to be sent anywhere.
+  /// Answers a request with \p Reason without sending it to an upstream.
   void refuse(const HttpExchangePtr &Exchange, const Failure &Reason);
-  /// The list of upstreams has changed: waiting requests look again.
+  /// Called when the list of upstreams has changed. Waiting requests choose
+  /// again.
   void upstreamsChanged();
-  /// Requests were barred or cleared, or servers asked whether they ended.
+  /// Called when requests were quarantined or cleared, or upstreams probed for
+  /// crashes.
   void crashesChanged();
-  /// The box may know all that it serves by now, or stops: requests that were
-  /// kept for that go on.
-  void releaseEarly();
-  std::size_t open() const { return m_Open.size() + m_Early.size(); }
+  /// Continues the requests in the startup queue if the box has all the state
+  /// that it needs to serve, or stops.
+  void releaseStartupQueue();
+  /// \returns the number of requests in progress, with those in the startup
+  /// queue.
+  std::size_t open() const { return m_Open.size() + m_StartupQueue.size(); }
 
 private:
   friend class ProxiedRequest;
 
   void refuseUnread(const HttpExchangePtr &Exchange, const Failure &Reason,
                     const std::string &Id);
-  void keepOrRefuse(const EarlyRequests::Item &Item);
-  void refuseOverdue();
-  void begin(EarlyRequests::Item Item);
+  void keepOrRefuse(const StartupQueue::Item &Item);
+  void refuseExpired();
+  void begin(StartupQueue::Item Item);
   void remove(const std::shared_ptr<ProxiedRequest> &Ended);
 
   EventLoop &m_Loop;
@@ -110,12 +121,12 @@
   DecisionLog &m_Log;
   Options m_Opts;
   Hooks m_Hooks;
-  std::weak_ptr<QuotaDesk> m_Quotas;
-  std::weak_ptr<PermitDesk> m_Permits;
-  std::weak_ptr<CrashDesk> m_Crashes;
-  std::weak_ptr<ServerWordDesk> m_Words;
-  EarlyRequests m_Early;
-  Timer m_EarlyTimer;
+  std::weak_ptr<QuotaService> m_Quotas;
+  std::weak_ptr<PermitService> m_Permits;
+  std::weak_ptr<CrashService> m_Crashes;
+  std::weak_ptr<UpstreamSignalService> m_Signals;
+  StartupQueue m_StartupQueue;
+  Timer m_StartupTimer;
   std::set<std::shared_ptr<ProxiedRequest>> m_Open;
 };
 
--- a/packages/gateway/request/ProxiedRequest.cpp
+++ b/packages/gateway/request/ProxiedRequest.cpp
@@ -3,7 +3,7 @@
 #include "decisions/request/EnginePriority.h"
 #include "decisions/request/RetryAfterRefusal.h"
 #include "gateway/common/DecisionLog.h"
-#include "gateway/request/OwnAnswer.h"
+#include "gateway/request/FailureReply.h"
 #include "gateway/request/RequestDigest.h"
 #include "gateway/request/UpstreamCall.h"
 #include <algorithm>
@@ -13,40 +13,41 @@
 
 namespace {
 
-/// Requests without a deadline of the caller end with the route's time-out.
-constexpr Duration LongestDeadline = 3600s;
+/// Upper limit for requests for which the caller set no deadline; the route's
+/// timeout ends them earlier.
+constexpr Duration MaxDeadline = 3600s;
 
-/// When a caller may come back that no upstream listed now may serve: servers
-/// that have started are listed within a second.
-constexpr Duration UpstreamsAway = 1s;
+/// Time after which a caller should retry if no listed upstream is eligible:
+/// upstreams that have started are listed within a second.
+constexpr Duration NoUpstreamRetryAfter = 1s;
 
-/// When a caller may come back after all upstreams turned a request down.
-constexpr Duration RejectedAway = 150ms;
+/// Time after which a caller should retry if all upstreams rejected a request.
+constexpr Duration RejectedRetryAfter = 150ms;
 
-/// The least silence of an upstream that counts as a failure.
-constexpr Duration LeastSilence = 1200ms;
+/// Lower limit for idle timeouts.
+constexpr Duration MinIdleTimeout = 1200ms;
 
-/// And in multiples of what is usual: a plain service's target; the expected
-/// first token, which comes up to two and a half times as late; the pause that
-/// a stream's callers bear.
-constexpr int SilentTargets = 3;
-constexpr double SilentExpected = 2.5;
-constexpr int SilentGaps = 4;
+/// Idle timeouts as multiples of what is usual: of the target of a plain
+/// service; of the expected time to the first token, which takes up to two and
+/// a half times as long; of the target for gaps in a stream.
+constexpr int IdleTargets = 3;
+constexpr double IdleExpected = 2.5;
+constexpr int IdleGaps = 4;
 
-/// Tokens of an answer count in part: most end before their bound.
-constexpr double OutputPart = 0.5;
+/// Weight of the maximum number of output tokens: most answers are shorter.
+constexpr double OutputTokenWeight = 0.5;
 
 } // namespace
 
 ProxiedRequest::ProxiedRequest(Forwarder &Owner, HttpExchangePtr Exchange,
                                RequestDescriptor Request,
                                std::shared_ptr<const ServingConfig> Config,
-                               const Route &Of, const Organisation *Caller,
-                               TimePoint Arrived)
+                               const Route &MatchedRoute,
+                               const Organisation *Caller, TimePoint Arrived)
     : m_Owner(Owner), m_Exchange(std::move(Exchange)),
       m_Request(std::move(Request)), m_FromCaller(m_Exchange->headers()),
-      m_Config(std::move(Config)), m_Route(Of),
-      m_Service(chooseSplit(Of, m_Request.m_Id)),
+      m_Config(std::move(Config)), m_Route(MatchedRoute),
+      m_Service(chooseSplit(MatchedRoute, m_Request.m_Id)),
       m_Organisation(Caller == nullptr ? "" : Caller->m_Name),
       m_Crashes(digestOf({.m_Method = m_Exchange->method(),
                           .m_Host = m_Request.m_Host,
@@ -54,23 +55,23 @@
                           .m_Organisation = m_Organisation,
                           .m_Body = m_Exchange->body()}),
                 Owner.m_State.m_Crashes, Owner.m_Crashes),
-      m_Priority(enginePriority(*m_Config, Of, Caller)),
-      m_Standing(m_Config, Of, Caller, m_Request.m_Caller),
+      m_Priority(enginePriority(*m_Config, MatchedRoute, Caller)),
+      m_Standing(m_Config, MatchedRoute, Caller, m_Request.m_Caller),
       m_Quota(Owner.m_Quotas, m_Organisation, quotaUnits(m_Request, Caller)),
       m_Permit(Owner.m_Loop, Owner.m_Permits, Owner.m_State.m_SendBounds,
                [this] { resume(); }),
       m_Arrived(Arrived),
       m_Deadline(m_Arrived +
-                 std::min(m_Request.m_Deadline.value_or(LongestDeadline),
-                          Of.m_Timeout)),
+                 std::min(m_Request.m_Deadline.value_or(MaxDeadline),
+                          MatchedRoute.m_Timeout)),
       m_LastEvent(m_Request.m_LastEvent),
-      m_Silence(Owner.m_Loop, Owner.m_Client,
-                {.m_Probe = [this] { return probe(); },
-                 .m_Lost =
-                     [this] {
-                       const auto Self = shared_from_this();
-                       settle(SendOutcome::Broken);
-                     }}) {}
+      m_IdleMonitor(Owner.m_Loop, Owner.m_Client,
+                    {.m_Probe = [this] { return probe(); },
+                     .m_Lost =
+                         [this] {
+                           const auto Self = shared_from_this();
+                           settle(SendOutcome::Broken);
+                         }}) {}
 
 void ProxiedRequest::begin() {
   ServingState &State = m_Owner.m_State;
@@ -78,9 +79,10 @@
   if (m_Request.m_Deadline)
     m_SinceFirstTry = State.m_Callers.sinceFirstTry(
         m_Route.m_Name, *m_Request.m_Deadline, m_Arrived);
-  // A second try is the same demand once more.
+  // A retry of the caller is not counted as demand again.
   if (!m_Request.m_Model.empty() && m_SinceFirstTry == 0us) {
-    // Reading a prompt takes the whole engine, writing the answer one slot.
+    // Reading a prompt occupies the whole engine, generating the answer one
+    // slot.
     const double Work =
         State.m_Latency.workMs(m_Request.m_Model, m_Request.m_PromptTokens) +
         State.m_Latency.holdMs(m_Request.m_Model) /
@@ -103,62 +105,63 @@
   step();
 }
 
-RequestReach ProxiedRequest::reach() const {
+RequestReach ProxiedRequest::eligibility() const {
   const ServingState &State = m_Owner.m_State;
   return {State.m_Upstreams, State.m_DataCentres, m_Standing.regions(),
           m_Service, m_Request};
 }
 
 void ProxiedRequest::upstreamsChanged() {
-  if (m_Parked && !m_Done)
+  if (m_Waiting && !m_Done)
     step();
 }
 
 void ProxiedRequest::step() {
   const TimePoint Now = EventLoop::now();
   ServingState &State = m_Owner.m_State;
-  m_ParkTimer = Timer();
-  if (!stillAllowed() || refusedBarred(Now))
+  m_WaitTimer = Timer();
+  if (!stillAllowed() || refuseIfQuarantined(Now))
     return;
-  if (const auto Hold = m_Crashes.hold(Now))
-    return wait(*Hold);
+  if (const auto HoldTime = m_Crashes.holdTime(Now))
+    return wait(*HoldTime);
   const auto Excluded = [&](const InstanceId &Id) {
     return m_Tried.contains(Id) || m_Permit.excludes(Id, Now) ||
            State.m_Words.retryAt(Id, Now);
   };
-  auto Candidates = reach().candidates(Excluded, Now);
-  m_Crashes.keepApart(Candidates, m_MayHaveRun, Now);
-  const ReplicaKnowledge Known{.m_Loads = State.m_Loads,
-                               .m_Prefixes = State.m_Prefixes,
-                               .m_Latency = State.m_Latency,
-                               .m_Failures = State.m_Failures,
-                               .m_DataCentres = State.m_DataCentres,
-                               .m_Bounds = &State.m_SendBounds};
+  auto Candidates = eligibility().candidates(Excluded, Now);
+  m_Crashes.narrowCandidates(Candidates, m_MayHaveRun, Now);
+  const ReplicaKnowledge Knowledge{.m_Loads = State.m_Loads,
+                                   .m_Prefixes = State.m_Prefixes,
+                                   .m_Latency = State.m_Latency,
+                                   .m_Failures = State.m_Failures,
+                                   .m_DataCentres = State.m_DataCentres,
+                                   .m_Bounds = &State.m_SendBounds};
   const auto Chosen =
-      chooseReplica(Candidates, m_Request, State.m_Zone, Known,
+      chooseReplica(Candidates, m_Request, State.m_Zone, Knowledge,
                     m_Owner.m_Opts.m_Weights, m_Owner.m_Hooks.m_Random(), Now);
-  m_Judged = {.m_Replicas = Candidates.size(),
+  m_Choice = {.m_Replicas = Candidates.size(),
               .m_ExpectedMs = Chosen ? Chosen->m_ExpectedMs : 0,
               .m_PendingMs = Chosen ? Chosen->m_PendingMs : 0};
   if (!Chosen && m_Permit.drop())
     return step();
-  if (refusedBound(Chosen, Now) || refusedBackedOff(Chosen, Now))
+  if (refuseIfBound(Chosen, Now) || refuseIfBackedOff(Chosen, Now))
     return;
-  // A permit is not given up for what another request was told meanwhile.
-  if (m_Sends == 0 && !m_Permit.holds(Now) && !admitted(Chosen, Now))
+  // A request with a valid permit is not refused because of what other requests
+  // have learnt meanwhile.
+  if (m_Sends == 0 && !m_Permit.hasValidPermit(Now) && !admitted(Chosen, Now))
     return;
   if (!Chosen)
     return carryOut(m_BytesPassed  ? ForwardingStep::Cut
                     : m_MayHaveRun ? ForwardingStep::Fail
                                    : ForwardingStep::Refuse);
-  if (const auto Pause =
-          m_Crashes.pause(m_Owner.m_Hooks.m_Random(), m_Deadline - Now, Now))
-    return wait(*Pause);
-  m_Parked = false;
+  if (const auto Delay = m_Crashes.retryDelay(m_Owner.m_Hooks.m_Random(),
+                                              m_Deadline - Now, Now))
+    return wait(*Delay);
+  m_Waiting = false;
   if (!withinQuota(Now))
     return;
-  if (const auto Pause = paceOf(*Chosen, Now)) {
-    m_PaceTimer = m_Owner.m_Loop.after(*Pause, [Weak = weak_from_this()] {
+  if (const auto Delay = pacingDelay(*Chosen, Now)) {
+    m_PaceTimer = m_Owner.m_Loop.after(*Delay, [Weak = weak_from_this()] {
       if (const auto Self = Weak.lock())
         Self->resume();
     });
@@ -169,16 +172,16 @@
     send(*Chosen, Now);
 }
 
-/// A request that ends servers ends those that it still waits for, too. One
-/// that a server has begun to answer may yet show that it does not.
+/// A quarantine also ends the tries that wait for an answer. One that an
+/// upstream has begun to answer may still show that the request is harmless.
 void ProxiedRequest::crashesChanged() {
   if (m_Done)
     return;
   const auto Self = shared_from_this();
-  if (m_Parked)
+  if (m_Waiting)
     step();
   else if (m_Send && !m_Send->m_Started)
-    refusedBarred(EventLoop::now());
+    refuseIfQuarantined(EventLoop::now());
 }
 
 void ProxiedRequest::resume() {
@@ -187,46 +190,47 @@
     step();
 }
 
-/// Whether the request has its answer as only servers are left that are cold or
-/// name a limit, and no permit to send to one is to be had in time.
-bool ProxiedRequest::refusedBound(const std::optional<ChosenReplica> &Chosen,
-                                  TimePoint Now) {
-  const auto Away = m_Permit.away(Now);
-  if (Chosen || !Away || m_BytesPassed || m_MayHaveRun)
+/// Refuses the request if only upstreams are left that are cold or set a limit,
+/// and no permit for one is available in time. \returns whether it did.
+bool ProxiedRequest::refuseIfBound(const std::optional<ChosenReplica> &Chosen,
+                                   TimePoint Now) {
+  const auto Deferral = m_Permit.deferral(Now);
+  if (Chosen || !Deferral || m_BytesPassed || m_MayHaveRun)
     return false;
-  refuse(ErrorKind::Overloaded, Away->m_After,
-         Away->m_Limited ? "server_limit" : "cold");
+  refuse(ErrorKind::Overloaded, Deferral->m_After,
+         Deferral->m_Limited ? "server_limit" : "cold");
   return true;
 }
 
-/// Whether the request has its answer as all servers that could run it have
-/// named a time to retry after, and no load of its model is sooner.
-bool ProxiedRequest::refusedBackedOff(
+/// Refuses the request if all upstreams that could run it have stated a time to
+/// retry after, and no load of its model ends sooner. \returns whether it did.
+bool ProxiedRequest::refuseIfBackedOff(
     const std::optional<ChosenReplica> &Chosen, TimePoint Now) {
   if (Chosen || m_BytesPassed || m_MayHaveRun)
     return false;
-  const auto Nobody = [](const InstanceId &) { return false; };
-  const auto Refusal = refuseForRetryAfter(reach().candidates(Nobody, Now),
-                                           m_Owner.m_State.m_Words,
-                                           m_Owner.m_Hooks.m_Random(), Now);
-  const auto ServesAt = reach().servesAt(Now);
+  const auto ExcludeNone = [](const InstanceId &) { return false; };
+  const auto Refusal = refuseForRetryAfter(
+      eligibility().candidates(ExcludeNone, Now), m_Owner.m_State.m_Words,
+      m_Owner.m_Hooks.m_Random(), Now);
+  const auto ServesAt = eligibility().servesAt(Now);
   if (!Refusal || (ServesAt && *ServesAt < Now + Refusal->m_After))
     return false;
-  m_Judged.m_Reason = "server_retry_after";
+  m_Choice.m_Reason = "server_retry_after";
   refuse(ErrorKind::Overloaded, Refusal->m_After, "server_retry_after");
   return true;
 }
 
-/// How long to wait before a prompt is read beside running streams: they pause
-/// while prompts are read, so these come one after the other.
-std::optional<Duration> ProxiedRequest::paceOf(const ChosenReplica &Chosen,
-                                               TimePoint Now) const {
+/// \returns how long to wait before a prompt is read beside running streams;
+/// empty if there is no need to wait. Streams pause while a prompt is read, so
+/// prompts are spread out.
+std::optional<Duration> ProxiedRequest::pacingDelay(const ChosenReplica &Chosen,
+                                                    TimePoint Now) const {
   const PaceFacts Facts{.m_GapTarget = m_Route.m_GapTarget,
                         .m_Target = m_Route.m_Target,
                         .m_Waited = waited(Now),
                         .m_PendingMs = Chosen.m_PendingMs};
   if (m_Sends > 0 || !streaming() || m_Request.m_Model.empty() ||
-      m_Permit.holds(Now))
+      m_Permit.hasValidPermit(Now))
     return std::nullopt;
   return paceFor(Facts, m_Owner.m_Opts.m_Pace);
 }
@@ -244,21 +248,21 @@
   if (Chosen)
     Facts.m_Start = {.m_FirstMs = Chosen->m_ExpectedMs,
                      .m_WorkMs = Chosen->m_WorkMs};
-  const auto ServesAt = reach().servesAt(Now);
+  const auto ServesAt = eligibility().servesAt(Now);
   if (Facts.m_NamesModel && ServesAt)
     Facts.m_ServesIn = std::max<Duration>(0us, *ServesAt - Now);
   return Facts;
 }
 
-/// Whether the request may be sent now. Otherwise it waits until it is judged
-/// again, or has got its answer.
+/// \returns whether admission lets the request be sent now. If not, it waits
+/// for the next decision, or has been refused.
 bool ProxiedRequest::admitted(const std::optional<ChosenReplica> &Chosen,
                               TimePoint Now) {
-  // A plain service's queue is its own.
+  // Plain services queue requests themselves.
   if (Chosen && m_Request.m_Model.empty())
     return true;
-  if (!Chosen && !reach().any()) {
-    refuse(ErrorKind::NoAllowedUpstream, UpstreamsAway,
+  if (!Chosen && !eligibility().any()) {
+    refuse(ErrorKind::NoAllowedUpstream, NoUpstreamRetryAfter,
            m_Standing.regions().text());
     return false;
   }
@@ -268,15 +272,15 @@
   const AdmissionFacts Facts = admissionFacts(Chosen, Now);
   const AdmissionDecision Decision =
       admit(Facts, m_Owner.m_Opts.m_Admission, m_Owner.m_Hooks.m_Random());
-  m_Judged.m_Reason = Decision.m_Reason;
-  m_Judged.m_ServesIn = Facts.m_ServesIn;
+  m_Choice.m_Reason = Decision.m_Reason;
+  m_Choice.m_ServesIn = Facts.m_ServesIn;
   switch (Decision.m_Step) {
   case AdmissionStep::Send:
     return true;
   case AdmissionStep::Wait:
-    // What waits may not end before the process does.
+    // A waiting request might outlive the process.
     if (m_Owner.m_State.m_Stopping)
-      refuse(ErrorKind::Stopping, Forwarder::StoppingAway, {});
+      refuse(ErrorKind::Stopping, Forwarder::StoppingRetryAfter, {});
     else
       wait(Decision.m_For);
     return false;
@@ -290,18 +294,19 @@
   return false;
 }
 
-/// Until news of upstreams come, or \p For is over.
+/// Waits until the state of upstreams changes, but for \p For at most.
 void ProxiedRequest::wait(Duration For) {
-  m_Parked = true;
-  m_ParkTimer = m_Owner.m_Loop.after(For, [Weak = weak_from_this()] {
+  m_Waiting = true;
+  m_WaitTimer = m_Owner.m_Loop.after(For, [Weak = weak_from_this()] {
     const auto Self = Weak.lock();
-    if (Self && !Self->m_Done && Self->m_Parked)
+    if (Self && !Self->m_Done && Self->m_Waiting)
       Self->step();
   });
 }
 
-/// Keys may be taken away and regions change while a request waits, or between
-/// two sends.
+/// Checks the caller's key and the allowed regions again, as they may change
+/// while the request waits or between two sends. \returns whether the request
+/// may go on.
 bool ProxiedRequest::stillAllowed() {
   m_Standing.update(m_Owner.m_State.m_Config);
   const auto Refused = m_Standing.refusal();
@@ -316,10 +321,11 @@
   return false;
 }
 
-/// Whether the request has its final answer, as servers ended under it. It is
-/// known by its content, as each try has another id.
-bool ProxiedRequest::refusedBarred(TimePoint Now) {
-  const RequestBar *Bar = m_Crashes.bar(Now);
+/// Ends the request if it is quarantined because upstreams crashed under it. It
+/// is recognised by its content, as each try has another id. \returns whether
+/// it did.
+bool ProxiedRequest::refuseIfQuarantined(TimePoint Now) {
+  const RequestBar *Bar = m_Crashes.quarantine(Now);
   if (Bar == nullptr)
     return false;
   if (m_BytesPassed)
@@ -331,16 +337,17 @@
   return true;
 }
 
-/// How long units or permits may be waited for: while the answer still comes in
-/// time, and what is late already as long as a word from the other boxes takes.
+/// \returns how long to wait for quota units or permits: as long as the answer
+/// still meets its target, and if that is missed already, as long as a message
+/// from the other boxes takes.
 Duration ProxiedRequest::timeToSpare(TimePoint Now) const {
-  constexpr Duration Least = 100ms;
-  return std::max<Duration>(Least, m_Route.m_Target - waited(Now) -
-                                       fromMillis(m_Judged.m_ExpectedMs));
+  constexpr Duration MinTime = 100ms;
+  return std::max<Duration>(MinTime, m_Route.m_Target - waited(Now) -
+                                         fromMillis(m_Choice.m_ExpectedMs));
 }
 
-/// A permit to send to a server that names a limit is not waited for longer
-/// than another server would take.
+/// \returns how long to wait for a permit. If the upstream sets a limit, that
+/// is no longer than it would take to use another upstream instead.
 Duration ProxiedRequest::permitPatience(const ChosenReplica &Chosen,
                                         TimePoint Now) const {
   const Duration Spare = timeToSpare(Now);
@@ -349,8 +356,8 @@
   return std::min(Spare, fromMillis(*Chosen.m_SpareMs));
 }
 
-/// Whether the request may be sent now. Otherwise the answer will tell, or the
-/// request has got its own.
+/// \returns whether the quota lets the request be sent now. If not, the answer
+/// of the quota service resumes it, or it has been refused.
 bool ProxiedRequest::withinQuota(TimePoint Now) {
   if (m_Quota.granted() || m_Quota.state() == RequestQuota::State::Asked)
     return m_Quota.granted();
@@ -367,10 +374,10 @@
     return;
   const auto Self = shared_from_this();
   if (!Verdict)
-    return refuse(ErrorKind::OwnerUnavailable, RejectedAway, "quota");
+    return refuse(ErrorKind::OwnerUnavailable, RejectedRetryAfter, "quota");
   if (!Verdict->granted())
     return refuse(ErrorKind::RateLimited, Verdict->m_After, {});
-  // An answer at once is read by the one that asked.
+  // If the answer came at once, withinQuota() continues.
   if (!m_AskingQuota)
     step();
 }
@@ -392,7 +399,7 @@
                              m_Owner.m_State.m_Failures.rate(To.m_Id, Now));
   Call.m_ConnectTimeout = m_Owner.m_Opts.m_ConnectTimeout;
   Call.m_IdleTimeout = m_Deadline - Now + 1s;
-  Call.m_MaxBody = m_Owner.m_Opts.m_MaxAnswer;
+  Call.m_MaxBody = m_Owner.m_Opts.m_MaxAnswerBytes;
   const auto Weak = weak_from_this();
   Call.m_OnHead = [Weak](int Status, const HttpHeaders &Headers) {
     if (const auto Self = Weak.lock())
@@ -424,9 +431,9 @@
                 .m_WorkMs = Chosen.m_WorkMs,
                 .m_ExpectedMs = Chosen.m_ExpectedMs,
                 .m_Tokens = m_Request.m_PromptTokens +
-                            OutputPart * m_Request.m_MostOutput,
+                            OutputTokenWeight * m_Request.m_MostOutput,
                 .m_Resumed = m_LastEvent.has_value()};
-  const ConfigVouch Config = m_Owner.m_Hooks.m_ConfigVouch(Now);
+  const ConfigFreshness Config = m_Owner.m_Hooks.m_ConfigFreshness(Now);
   m_Owner.m_Log.write("sent",
                       {{"request", m_Request.m_Id},
                        {"digest", m_Crashes.digest().str()},
@@ -447,17 +454,17 @@
     State.m_Prefixes.noteRead(To.m_Id, m_Request);
   m_Call = m_Owner.m_Client.start(std::move(Call));
   if (!streaming())
-    return expectWithin(SilentTargets * m_Route.m_Target);
-  expectWithin(std::max<Duration>(
-      LeastSilence,
-      fromMillis(SilentExpected * Chosen.m_ExpectedMs) + m_Route.m_Target));
+    return expectBytesWithin(IdleTargets * m_Route.m_Target);
+  expectBytesWithin(std::max<Duration>(
+      MinIdleTimeout,
+      fromMillis(IdleExpected * Chosen.m_ExpectedMs) + m_Route.m_Target));
 }
 
-/// Requests that may run again do not wait for ever for an upstream that says
-/// nothing; for others its silence is no reason to give up.
-void ProxiedRequest::expectWithin(Duration Limit) {
+/// Only idempotent requests that may be sent again have an idle timeout. Others
+/// cannot be retried, so there is no reason to give up on them.
+void ProxiedRequest::expectBytesWithin(Duration Limit) {
   if (m_Route.idempotent() && m_Sends < m_Route.m_MaxAttempts)
-    m_Silence.expectWithin(Limit);
+    m_IdleMonitor.expectBytesWithin(Limit);
 }
 
 std::optional<HttpCall> ProxiedRequest::probe() const {
@@ -476,16 +483,16 @@
   m_Send->m_Status = Status;
   m_Send->m_Headers = Headers;
   m_Send->m_NotRun = Facts.m_NotRun;
-  m_Permit.heard(Facts, m_Send->m_Instance, m_Send->m_At);
-  m_Send->m_Foreign =
+  m_Permit.reportCold(Facts, m_Send->m_Instance, m_Send->m_At);
+  m_Send->m_ForeignAnswer =
       !Facts.m_RequestId.empty() && Facts.m_RequestId != m_Request.m_Id;
-  const bool Nameless = Facts.m_RequestId.empty() && Status / 100 == 2;
-  if (m_Send->m_Foreign || Nameless) {
-    m_Send->m_Foreign = true;
+  const bool LacksRequestId = Facts.m_RequestId.empty() && Status / 100 == 2;
+  if (m_Send->m_ForeignAnswer || LacksRequestId) {
+    m_Send->m_ForeignAnswer = true;
     return settle(SendOutcome::Broken);
   }
-  if (const auto Desk = m_Owner.m_Words.lock())
-    Desk->heard(upstreamLife(), Facts, m_Send->m_At);
+  if (const auto Service = m_Owner.m_Signals.lock())
+    Service->recordSignals(upstreamLife(), Facts, m_Send->m_At);
 }
 
 void ProxiedRequest::onBytes(std::string_view Bytes) {
@@ -494,17 +501,17 @@
   if (streaming() && m_Send->m_Status == 200)
     return passEvents(m_Events.feed(Bytes));
   m_Send->m_Body.append(Bytes);
-  if (m_Send->m_Body.size() > m_Owner.m_Opts.m_MaxAnswer)
+  if (m_Send->m_Body.size() > m_Owner.m_Opts.m_MaxAnswerBytes)
     settle(SendOutcome::Broken);
 }
 
 void ProxiedRequest::noteStarted(TimePoint Now) {
-  if (m_Send->m_Started || !m_Send->m_Counted)
+  if (m_Send->m_Started || !m_Send->m_CountedAsLoad)
     return;
   m_Send->m_Started = Now;
   if (!m_FirstByte)
     m_FirstByte = Now;
-  if (upstreamStartedAgain())
+  if (upstreamRestarted())
     return;
   ServingState &State = m_Owner.m_State;
   const double Observed = inMillis(Now - m_Send->m_At);
@@ -523,27 +530,28 @@
     m_Exchange->startStream(m_Send->m_Status,
                             withoutConnectionFields(m_Send->m_Headers));
   }
-  if (m_LastPassed)
-    m_LongestGap = std::max(m_LongestGap, Now - *m_LastPassed);
-  m_LastPassed = Now;
+  if (m_LastPassedAt)
+    m_LongestGap = std::max(m_LongestGap, Now - *m_LastPassedAt);
+  m_LastPassedAt = Now;
   if (m_Events.lastId())
     m_LastEvent = m_Events.lastId();
   if (!m_Exchange->sendChunk(Events))
     return cut();
-  expectWithin(std::max(LeastSilence, SilentGaps * m_Route.m_GapTarget));
+  expectBytesWithin(std::max(MinIdleTimeout, IdleGaps * m_Route.m_GapTarget));
 }
 
 void ProxiedRequest::onEnd(HttpEnd End) {
   if (m_Done || !m_Send)
     return;
   if (End == HttpEnd::Broken)
-    m_Crashes.broke(upstreamLife(), m_Send->m_Started, EventLoop::now());
+    m_Crashes.onConnectionBroken(upstreamLife(), m_Send->m_Started,
+                                 EventLoop::now());
   if (End == HttpEnd::NotWritten)
-    m_Crashes.unreachable(upstreamLife());
-  settle(judge(End));
+    m_Crashes.onConnectFailed(upstreamLife());
+  settle(classify(End));
 }
 
-SendOutcome ProxiedRequest::judge(HttpEnd End) const {
+SendOutcome ProxiedRequest::classify(HttpEnd End) const {
   if (m_Send->m_NotRun)
     return SendOutcome::Rejected;
   if (End == HttpEnd::NotWritten)
@@ -561,9 +569,9 @@
   m_Sends -= Outcome == SendOutcome::NotSent ? 1 : 0;
   m_MayHaveRun = m_MayHaveRun || Outcome == SendOutcome::Broken ||
                  Outcome == SendOutcome::ServerError;
-  if (ranWell(Outcome))
-    m_Crashes.ranWell(upstreamLife());
-  if (upstreamStartedAgain())
+  if (completed(Outcome))
+    m_Crashes.onCompleted(upstreamLife());
+  if (upstreamRestarted())
     return;
   if (Outcome == SendOutcome::Answered)
     State.m_Failures.succeeded(At, Now);
@@ -573,21 +581,22 @@
     State.m_Failures.failed(At, Now);
 }
 
-/// Whether the upstream ran all of the request. A failure may come without a
-/// run, and the rest of a stream may be nothing.
-bool ProxiedRequest::ranWell(SendOutcome Outcome) const {
+/// \returns whether the upstream ran the request completely. An error may be
+/// returned without a run, and the rest of a resumed stream may be empty.
+bool ProxiedRequest::completed(SendOutcome Outcome) const {
   return Outcome == SendOutcome::Answered && m_Send->m_Status / 100 == 2 &&
          !m_Send->m_Resumed;
 }
 
-/// What a former start of the upstream did says nothing of the present one.
-bool ProxiedRequest::upstreamStartedAgain() const {
+/// \returns whether the upstream has restarted since the send. What an earlier
+/// incarnation did does not count for the present one.
+bool ProxiedRequest::upstreamRestarted() const {
   return m_Owner.m_State.m_Upstreams.past(upstreamLife());
 }
 
 void ProxiedRequest::releaseLoad() {
-  if (!m_Send || !std::exchange(m_Send->m_Counted, false) ||
-      upstreamStartedAgain())
+  if (!m_Send || !std::exchange(m_Send->m_CountedAsLoad, false) ||
+      upstreamRestarted())
     return;
   LoadBook &Loads = m_Owner.m_State.m_Loads;
   if (!m_Send->m_Started)
@@ -603,18 +612,19 @@
                               .m_Sends = m_Sends,
                               .m_MaxSends = m_Route.m_MaxAttempts,
                               .m_TimeLeft = Now < m_Deadline};
-  const ForwardingStep Wanted = nextStep(Outcome, Facts, true);
-  if (!needsBudget(Wanted, Outcome))
-    return Wanted;
+  const ForwardingStep Step = nextStep(Outcome, Facts, true);
+  if (!needsBudget(Step, Outcome))
+    return Step;
   ServingState &State = m_Owner.m_State;
-  const bool Left = State.m_Budget.trySpend(m_Service, State.m_Boxes, Now);
-  return nextStep(Outcome, Facts, Left);
+  const bool WithinBudget =
+      State.m_Budget.trySpend(m_Service, State.m_Boxes, Now);
+  return nextStep(Outcome, Facts, WithinBudget);
 }
 
 void ProxiedRequest::settle(SendOutcome Outcome) {
   const TimePoint Now = EventLoop::now();
-  m_Silence.stop();
-  // Rejections and cut calls are cancelled with the handle.
+  m_IdleMonitor.stop();
+  // Destroying the handle cancels rejected and aborted calls.
   m_Call = HttpCallHandle();
   if (Outcome == SendOutcome::Answered) {
     if (streaming() && m_Send->m_Status == 200)
@@ -635,7 +645,7 @@
                          {"send", m_Sends},
                          {"outcome", outcomeName(Outcome)},
                          {"status", m_Send->m_Status},
-                         {"foreign", m_Send->m_Foreign},
+                         {"foreign", m_Send->m_ForeignAnswer},
                          {"after_ms", (Now - m_Send->m_At) / 1ms},
                          {"passed", m_BytesPassed},
                          {"step", stepName(Step)}});
@@ -651,7 +661,7 @@
   case ForwardingStep::PassOn:
     return passAnswer();
   case ForwardingStep::Refuse:
-    return refuse(ErrorKind::NoUpstream, RejectedAway, {});
+    return refuse(ErrorKind::NoUpstream, RejectedRetryAfter, {});
   case ForwardingStep::Fail:
     return fail(ErrorKind::OutcomeUnknown);
   case ForwardingStep::Cut:
@@ -667,29 +677,31 @@
     m_Exchange->endStream();
     return end("ok");
   }
-  // Without its word that it did not run the request, its status would be
-  // taken for a promise.
+  // Without the upstream's statement that it did not run the request, this
+  // status would wrongly promise that to the caller.
   if (promisesNotRun(m_Send->m_Status))
     return fail(ErrorKind::UpstreamFailed);
-  const bool Good = m_Send->m_Status < 500;
+  const bool Success = m_Send->m_Status < 500;
   m_Exchange->reply(m_Send->m_Status,
                     withoutConnectionFields(m_Send->m_Headers), m_Send->m_Body);
-  end(Good ? "ok" : "upstream_error");
+  end(Success ? "ok" : "upstream_error");
 }
 
-void ProxiedRequest::refuse(ErrorKind Kind, Duration Away, std::string Detail) {
-  m_ToldAway = Away;
+void ProxiedRequest::refuse(ErrorKind Kind, Duration RetryAfter,
+                            std::string Detail) {
+  m_ToldRetryAfter = RetryAfter;
   m_Quota.giveBack();
-  answerFailure(
-      m_Exchange,
-      {.m_Kind = Kind, .m_RetryAfter = Away, .m_Detail = std::move(Detail)},
-      m_Owner.m_Dialect.m_OwnAnswer(m_Request.m_Id));
+  replyWithFailure(m_Exchange,
+                   {.m_Kind = Kind,
+                    .m_RetryAfter = RetryAfter,
+                    .m_Detail = std::move(Detail)},
+                   m_Owner.m_Dialect.m_FailureHeaders(m_Request.m_Id));
   end(answerFor(Kind).m_Code);
 }
 
 void ProxiedRequest::fail(ErrorKind Kind) {
-  answerFailure(m_Exchange, {.m_Kind = Kind},
-                m_Owner.m_Dialect.m_OwnAnswer(m_Request.m_Id));
+  replyWithFailure(m_Exchange, {.m_Kind = Kind},
+                   m_Owner.m_Dialect.m_FailureHeaders(m_Request.m_Id));
   end(answerFor(Kind).m_Code);
 }
 
@@ -720,9 +732,9 @@
   releaseLoad();
   m_Call = HttpCallHandle();
   m_DeadlineTimer = Timer();
-  m_ParkTimer = Timer();
+  m_WaitTimer = Timer();
   m_PaceTimer = Timer();
-  m_Silence.stop();
+  m_IdleMonitor.stop();
   const Duration First = m_FirstByte ? *m_FirstByte - m_Arrived : 0us;
   if (Outcome != "ok" && Outcome != answerFor(ErrorKind::CallerLeft).m_Code)
     m_Owner.m_State.m_Callers.turnedAway(m_Route.m_Name, Now);
@@ -741,14 +753,14 @@
        {"adapter", m_Request.m_Adapter},
        {"tried_before_ms", m_SinceFirstTry / 1ms},
        {"sends", m_Sends},
-       {"replicas", m_Judged.m_Replicas},
-       {"expected_ms", std::lround(m_Judged.m_ExpectedMs)},
-       {"pending_ms", std::lround(m_Judged.m_PendingMs)},
-       {"judged", m_Judged.m_Reason},
+       {"replicas", m_Choice.m_Replicas},
+       {"expected_ms", std::lround(m_Choice.m_ExpectedMs)},
+       {"pending_ms", std::lround(m_Choice.m_PendingMs)},
+       {"judged", m_Choice.m_Reason},
        {"regions", m_Standing.regions().text()},
        {"serves_in_ms",
-        m_Judged.m_ServesIn ? Json(*m_Judged.m_ServesIn / 1ms) : Json()},
-       {"told_ms", m_ToldAway / 1ms},
+        m_Choice.m_ServesIn ? Json(*m_Choice.m_ServesIn / 1ms) : Json()},
+       {"told_ms", m_ToldRetryAfter / 1ms},
        {"target_ms", m_Route.m_Target / 1ms},
        {"gap_target_ms", m_Route.m_GapTarget / 1ms},
        {"first_ms", First / 1ms},
--- a/packages/gateway/request/ProxiedRequest.h
+++ b/packages/gateway/request/ProxiedRequest.h
@@ -1,5 +1,5 @@
 /// \file
-/// One request of a caller, from its arrival to its answer.
+/// State machine of one caller's request, from its arrival to its answer.
 #ifndef HAVENSTAIR_GATEWAY_REQUEST_PROXIEDREQUEST_H
 #define HAVENSTAIR_GATEWAY_REQUEST_PROXIEDREQUEST_H
 
@@ -11,7 +11,7 @@
 #include "gateway/request/Forwarder.h"
 #include "gateway/request/RequestPermit.h"
 #include "gateway/request/RequestQuota.h"
-#include "gateway/request/SilenceWatch.h"
+#include "gateway/request/StreamIdleMonitor.h"
 #include <memory>
 #include <optional>
 #include <set>
@@ -19,69 +19,76 @@
 
 namespace havenstair {
 
-/// Chooses an upstream, sends the request, passes the answer on, and repeats
-/// where forwarding policy says so. Lives until the answer is given.
+/// Chooses an upstream, sends the request, passes the answer on to the caller,
+/// and retries where the forwarding policy allows it. Is destroyed when the
+/// answer has been given.
 class ProxiedRequest : public std::enable_shared_from_this<ProxiedRequest> {
 public:
   ProxiedRequest(Forwarder &Owner, HttpExchangePtr Exchange,
                  RequestDescriptor Request,
-                 std::shared_ptr<const ServingConfig> Config, const Route &Of,
-                 const Organisation *Caller, TimePoint Arrived);
+                 std::shared_ptr<const ServingConfig> Config,
+                 const Route &MatchedRoute, const Organisation *Caller,
+                 TimePoint Arrived);
 
+  /// Starts to process the request.
   void begin();
+  /// Chooses again if the request waits for an upstream.
   void upstreamsChanged();
+  /// Chooses again if the request waits, and ends it if it is now quarantined
+  /// and no upstream has begun to answer it.
   void crashesChanged();
 
 private:
   /// One send to an upstream.
   struct Send {
     InstanceId m_Instance;
-    UpstreamBirth m_Born = 0;
-    TimePoint m_At{};
-    double m_PendingMs = 0;
-    double m_WorkMs = 0;
-    double m_ExpectedMs = 0;
-    double m_Tokens = 0;
-    bool m_Counted = true;              ///< In the book of loads.
-    std::optional<TimePoint> m_Started; ///< Its first byte or event came.
-    bool m_NotRun = false;
-    bool m_Foreign = false; ///< The answer was another request's.
-    bool m_Resumed = false; ///< Only the rest of the answer was asked for.
+    UpstreamBirth m_Born = 0;    ///< Start time of the instance.
+    TimePoint m_At{};            ///< When the request was sent.
+    double m_PendingMs = 0;      ///< Work ahead of the request at the upstream.
+    double m_WorkMs = 0;         ///< The request's own work.
+    double m_ExpectedMs = 0;     ///< Expected time to the first token.
+    double m_Tokens = 0;         ///< Tokens that the request occupies.
+    bool m_CountedAsLoad = true; ///< The load tracker counts it.
+    std::optional<TimePoint> m_Started; ///< When the answer began.
+    bool m_NotRun = false; ///< The upstream states that it did not run it.
+    bool m_ForeignAnswer = false; ///< The answer is for another request.
+    bool m_Resumed = false;       ///< Only the rest of a stream was requested.
     int m_Status = 0;
     HttpHeaders m_Headers;
     std::string m_Body;
   };
 
-  /// What the last choice was made from; for the log.
-  struct Judged {
-    std::size_t m_Replicas = 0;
+  /// What the last choice of an upstream was based on, for the log.
+  struct ChoiceDetails {
+    std::size_t m_Replicas = 0; ///< Number of candidates.
     double m_ExpectedMs = 0;
     double m_PendingMs = 0;
-    std::string_view m_Reason = "";
-    std::optional<Duration> m_ServesIn; ///< A load that is under way.
+    std::string_view m_Reason = ""; ///< Reason of the admission decision.
+    /// Time until a load of the model in progress ends; empty if there is none.
+    std::optional<Duration> m_ServesIn;
   };
 
   void step();
   void resume();
-  bool refusedBound(const std::optional<ChosenReplica> &Chosen, TimePoint Now);
-  bool refusedBackedOff(const std::optional<ChosenReplica> &Chosen,
-                        TimePoint Now);
-  std::optional<Duration> paceOf(const ChosenReplica &Chosen,
-                                 TimePoint Now) const;
+  bool refuseIfBound(const std::optional<ChosenReplica> &Chosen, TimePoint Now);
+  bool refuseIfBackedOff(const std::optional<ChosenReplica> &Chosen,
+                         TimePoint Now);
+  std::optional<Duration> pacingDelay(const ChosenReplica &Chosen,
+                                      TimePoint Now) const;
   AdmissionFacts admissionFacts(const std::optional<ChosenReplica> &Chosen,
                                 TimePoint Now) const;
   bool admitted(const std::optional<ChosenReplica> &Chosen, TimePoint Now);
   void wait(Duration For);
   bool stillAllowed();
-  bool refusedBarred(TimePoint Now);
-  RequestReach reach() const;
+  bool refuseIfQuarantined(TimePoint Now);
+  RequestReach eligibility() const;
   Duration timeToSpare(TimePoint Now) const;
   Duration permitPatience(const ChosenReplica &Chosen, TimePoint Now) const;
   bool withinQuota(TimePoint Now);
   void onQuota(const std::optional<QuotaVerdict> &Verdict);
   void send(const ChosenReplica &Chosen, TimePoint Now);
   HttpCall makeCall(const UpstreamInstance &To, TimePoint Now);
-  void expectWithin(Duration Limit);
+  void expectBytesWithin(Duration Limit);
   std::optional<HttpCall> probe() const;
 
   void onHead(int Status, const HttpHeaders &Headers);
@@ -90,20 +97,20 @@
   void noteStarted(TimePoint Now);
   void passEvents(const std::string &Events);
 
-  SendOutcome judge(HttpEnd End) const;
+  SendOutcome classify(HttpEnd End) const;
   void settle(SendOutcome Outcome);
   void noteOutcome(SendOutcome Outcome, TimePoint Now);
   void releaseLoad();
   UpstreamLife upstreamLife() const {
     return {.m_Id = m_Send->m_Instance, .m_Born = m_Send->m_Born};
   }
-  bool ranWell(SendOutcome Outcome) const;
-  bool upstreamStartedAgain() const;
+  bool completed(SendOutcome Outcome) const;
+  bool upstreamRestarted() const;
   ForwardingStep decide(SendOutcome Outcome, TimePoint Now);
   void carryOut(ForwardingStep Step);
 
   void passAnswer();
-  void refuse(ErrorKind Kind, Duration Away, std::string Detail);
+  void refuse(ErrorKind Kind, Duration RetryAfter, std::string Detail);
   void fail(ErrorKind Kind);
   void cut();
   void onDeadline();
@@ -120,35 +127,35 @@
   std::shared_ptr<const ServingConfig> m_Config;
   const Route &m_Route;
   std::string m_Service;
-  std::string m_Organisation; ///< Empty for nobody's.
+  std::string m_Organisation; ///< Empty if the caller belongs to none.
   CrashGuard m_Crashes;
-  int m_Priority; ///< To an engine.
+  int m_Priority; ///< Priority that is sent to an engine.
   RequestStanding m_Standing;
   RequestQuota m_Quota;
-  bool m_AskingQuota = false;
+  bool m_AskingQuota = false; ///< A call to m_Quota.ask() is on the stack.
   RequestPermit m_Permit;
   TimePoint m_Arrived;
   TimePoint m_Deadline;
-  Duration m_SinceFirstTry = 0us; ///< Zero unless the caller tried before.
-  std::set<InstanceId> m_Tried;
+  Duration m_SinceFirstTry = 0us; ///< Zero if this is the first try.
+  std::set<InstanceId> m_Tried;   ///< Upstreams that it was sent to.
   int m_Sends = 0;
-  bool m_MayHaveRun = false;
-  bool m_BytesPassed = false;
-  bool m_Parked = false;
+  bool m_MayHaveRun = false;  ///< An upstream may have run the request.
+  bool m_BytesPassed = false; ///< The caller has received part of the answer.
+  bool m_Waiting = false;     ///< Waits for an upstream or for permission.
   bool m_Done = false;
   std::optional<TimePoint> m_FirstByte;
-  std::optional<TimePoint> m_LastPassed; ///< When events last went out.
-  Duration m_LongestGap = 0us;           ///< Between events.
+  std::optional<TimePoint> m_LastPassedAt; ///< When events were last passed on.
+  Duration m_LongestGap = 0us;             ///< Longest time between two events.
   std::optional<std::int64_t> m_LastEvent;
   std::optional<Send> m_Send;
-  Judged m_Judged;
-  Duration m_ToldAway = 0us; ///< When the caller was told to come back.
+  ChoiceDetails m_Choice;
+  Duration m_ToldRetryAfter = 0us; ///< Retry time in the refusal.
   EventSplitter m_Events;
   HttpCallHandle m_Call;
   Timer m_DeadlineTimer;
-  Timer m_ParkTimer;
+  Timer m_WaitTimer;
   Timer m_PaceTimer;
-  SilenceWatch m_Silence;
+  StreamIdleMonitor m_IdleMonitor;
 };
 
 } // namespace havenstair
--- a/packages/gateway/request/RequestDialect.cpp
+++ b/packages/gateway/request/RequestDialect.cpp
@@ -13,8 +13,8 @@
     "TE",         "Trailer",       "Transfer-Encoding", "Upgrade",
     "Expect",     "Content-Length"};
 
-/// Whether \p Name stands in \p List, which is separated by commas.
-bool listed(std::string_view List, std::string_view Name) {
+/// \returns whether the comma-separated \p List contains \p Name.
+bool contains(std::string_view List, std::string_view Name) {
   std::size_t Start = 0;
   while (Start <= List.size()) {
     const std::size_t Comma = std::min(List.find(',', Start), List.size());
@@ -33,7 +33,7 @@
 } // namespace
 
 HttpHeaders withoutConnectionFields(const HttpHeaders &Headers) {
-  const std::string Named = findHeader(Headers, "Connection");
+  const std::string Options = findHeader(Headers, "Connection");
   HttpHeaders Result;
   for (const HttpHeader &Header : Headers) {
     const bool OfConnection =
@@ -41,7 +41,7 @@
                     [&](std::string_view Field) {
                       return sameFieldName(Field, Header.m_Name);
                     });
-    if (!OfConnection && !listed(Named, Header.m_Name))
+    if (!OfConnection && !contains(Options, Header.m_Name))
       Result.push_back(Header);
   }
   return Result;
