--- a/packages/gateway/request/RequestDialect.h
+++ b/packages/gateway/request/RequestDialect.h
@@ -1,5 +1,6 @@
 /// \file
-/// How callers and upstreams spell what the gateway reads and sets.
+/// Translates between the platform's HTTP headers and what the gateway reads
+/// and sets.
 #ifndef HAVENSTAIR_GATEWAY_REQUEST_REQUESTDIALECT_H
 #define HAVENSTAIR_GATEWAY_REQUEST_REQUESTDIALECT_H
 
@@ -13,47 +14,54 @@
 
 /// What the gateway adds to a request that it sends to an upstream.
 struct ForwardedFields {
-  std::string m_Instance;     ///< Any other server must turn the request down.
-  std::string m_Organisation; ///< Whose request it is; empty for nobody's.
-  Duration m_TimeLeft = 0us;
-  int m_Priority = 5;                      ///< 0 is the most urgent of 0 to 9.
-  std::optional<std::int64_t> m_LastEvent; ///< Resume after this event.
+  /// Expected instance; any other upstream has to reject the request.
+  std::string m_Instance;
+  std::string m_Organisation; ///< Organisation of the caller; empty for none.
+  Duration m_TimeLeft = 0us;  ///< Time until the request's deadline.
+  int m_Priority = 5;         ///< From 0, the most urgent, to 9.
+  /// The upstream resumes the stream after this event; empty to start anew.
+  std::optional<std::int64_t> m_LastEvent;
 };
 
-/// What an answer's head says besides its status.
+/// What the head of an upstream's answer says besides its status.
 struct AnswerFacts {
-  std::string m_RequestId;
-  bool m_NotRun = false;
-  bool m_Misdirected = false; ///< Another server may stand at the address.
-  std::string m_Instance;     ///< Who answered; empty when it does not tell.
-  /// How much longer it is cold; empty when it does not tell.
+  std::string m_RequestId; ///< Request that the answer is for.
+  bool m_NotRun = false;   ///< The upstream states that it did not run it.
+  /// Another upstream may have taken over the address.
+  bool m_Misdirected = false;
+  std::string m_Instance; ///< Instance that answered; empty if not stated.
+  /// Time for which the instance stays cold; empty if not stated.
   std::optional<Duration> m_ColdFor;
-  /// Requests a second that it takes from all boxes together; empty when it
-  /// names no limit.
+  /// Requests per second that the upstream accepts from all boxes together;
+  /// empty if it sets no limit.
   std::optional<double> m_Limit;
-  bool m_BadLimit = false; ///< It names one that cannot be read.
-  bool m_Leaving = false;  ///< It says that it leaves.
-  /// It turns the request away and wants nothing from this box for so long;
-  /// empty when it names no time.
+  bool m_BadLimit = false; ///< The limit cannot be parsed.
+  bool m_Leaving = false;  ///< The upstream states that it leaves.
+  /// The upstream rejects the request and asks this box to send nothing for
+  /// this time; empty if it states no time.
   std::optional<Duration> m_RetryAfter;
-  bool m_BadRetryAfter = false; ///< It names one that cannot be read.
+  bool m_BadRetryAfter = false; ///< The time to retry after cannot be parsed.
 };
 
-/// Hooks that one platform implements; they translate and decide nothing.
+/// Functions that a platform provides. They translate headers and make no
+/// decisions.
 struct RequestDialect {
-  /// \throws RequestError for a request that cannot be read.
+  /// Reads a caller's request.
+  /// \throws RequestError if the request cannot be parsed.
   std::function<RequestDescriptor(const HttpExchange &)> m_Read;
-  /// Header fields for the upstream, without those of the connection.
+  /// \returns the header fields for the upstream, without connection-specific
+  /// ones.
   std::function<HttpHeaders(const HttpHeaders &FromCaller,
                             const ForwardedFields &)>
       m_Forward;
+  /// Reads the head of an upstream's answer.
   std::function<AnswerFacts(int Status, const HttpHeaders &)> m_ReadAnswer;
-  /// Header fields of an answer that the gateway gives itself.
-  std::function<HttpHeaders(const std::string &RequestId)> m_OwnAnswer;
+  /// \returns the header fields of an answer that the gateway generates itself.
+  std::function<HttpHeaders(const std::string &RequestId)> m_FailureHeaders;
 };
 
-/// \p Headers without the fields that concern one connection only (RFC 9110,
-/// section 7.6.1) and without the length, which is set anew.
+/// \returns \p Headers without connection-specific fields (RFC 9110, section
+/// 7.6.1) and without the content length, which is computed anew.
 HttpHeaders withoutConnectionFields(const HttpHeaders &Headers);
 
 } // namespace havenstair
--- a/packages/gateway/request/RequestDigest.cpp
+++ b/packages/gateway/request/RequestDigest.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-/// Hex digits, 128 bits: two of a million requests coincide in one of 10^26
-/// cases, and nobody can make one that coincides with another's.
+/// Hex digits, which are 128 bits: the probability that two of a million
+/// requests collide is one in 10^26, and nobody can construct a collision with
+/// a given request.
 constexpr std::size_t DigestLength = 32;
 
 } // namespace
@@ -18,7 +19,7 @@
   for (const std::string_view Part :
        {Content.m_Method, Content.m_Host, Content.m_Target,
         Content.m_Organisation, Content.m_Body}) {
-    // With their lengths, no two lists of parts read the same.
+    // The lengths keep different lists of parts from yielding the same text.
     Text += std::to_string(Part.size()) + ':';
     Text += Part;
   }
--- a/packages/gateway/request/RequestDigest.h
+++ b/packages/gateway/request/RequestDigest.h
@@ -1,5 +1,5 @@
 /// \file
-/// Recognises a request that comes again under another id.
+/// Digest of a request's content, which identifies it across retries.
 #ifndef HAVENSTAIR_GATEWAY_REQUEST_REQUESTDIGEST_H
 #define HAVENSTAIR_GATEWAY_REQUEST_REQUESTDIGEST_H
 
@@ -8,7 +8,7 @@
 
 namespace havenstair {
 
-/// What callers repeat when they try again.
+/// The parts of a request that callers repeat when they retry.
 struct RequestContent {
   std::string_view m_Method;
   std::string_view m_Host;
@@ -17,10 +17,10 @@
   std::string_view m_Body;
 };
 
-/// The digest of \p Content. Ids, deadlines and other header fields differ from
-/// try to try and have no part in it. All boxes come to the same digest, so the
-/// organisation stands for its keys, of which each box has hashes of its own.
-/// Nothing of the request can be read from it.
+/// \returns the digest of \p Content. Ids, deadlines and other header fields
+/// are left out, as they differ from try to try. All boxes compute the same
+/// digest: it covers the organisation instead of the key, because each box
+/// hashes keys in its own way. The content cannot be recovered from the digest.
 RequestDigest digestOf(const RequestContent &Content);
 
 } // namespace havenstair
--- a/packages/gateway/request/RequestPermit.cpp
+++ b/packages/gateway/request/RequestPermit.cpp
@@ -7,100 +7,106 @@
 
 namespace {
 
-/// A server that refused is not asked again for the same request before.
-constexpr Duration LeastRefused = 50ms;
+/// Minimum time before an upstream that was refused is asked for again by the
+/// same request.
+constexpr Duration MinRefusal = 50ms;
 
 } // namespace
 
-RequestPermit::RequestPermit(EventLoop &Loop, std::weak_ptr<PermitDesk> Desk,
+RequestPermit::RequestPermit(EventLoop &Loop,
+                             std::weak_ptr<PermitService> Service,
                              const SendBounds &Bounds,
                              std::function<void()> Resume)
-    : m_Loop(Loop), m_Desk(std::move(Desk)), m_Bounds(Bounds),
+    : m_Loop(Loop), m_Service(std::move(Service)), m_Bounds(Bounds),
       m_Resume(std::move(Resume)),
       m_Self(std::make_shared<RequestPermit *>(this)) {}
 
-bool RequestPermit::excludes(const InstanceId &Server, TimePoint Now) const {
+bool RequestPermit::excludes(const InstanceId &Upstream, TimePoint Now) const {
   if (m_Held && Now <= m_Held->m_Permit.m_Until)
-    return Server != m_Held->m_Server;
-  const auto Found = m_Refused.find(Server);
-  return Found != m_Refused.end() && Now < Found->second;
+    return Upstream != m_Held->m_Upstream;
+  const auto Found = m_RefusedUntil.find(Upstream);
+  return Found != m_RefusedUntil.end() && Now < Found->second;
 }
 
-bool RequestPermit::holds(TimePoint Now) const {
+bool RequestPermit::hasValidPermit(TimePoint Now) const {
   return m_Held && Now >= m_Held->m_Permit.m_From &&
          Now <= m_Held->m_Permit.m_Until;
 }
 
 bool RequestPermit::drop() {
-  // An answer that is still on its way is not waited for.
-  m_Asked.clear();
+  // An outstanding answer is ignored from now on.
+  m_PendingUpstream.clear();
   m_Timer = Timer();
   return std::exchange(m_Held, std::nullopt).has_value();
 }
 
-std::optional<RequestPermit::Away> RequestPermit::away(TimePoint Now) const {
-  std::optional<Away> Soonest;
-  for (const auto &[Server, Free] : m_Refused)
+std::optional<RequestPermit::Deferral>
+RequestPermit::deferral(TimePoint Now) const {
+  std::optional<Deferral> Soonest;
+  for (const auto &[Upstream, Free] : m_RefusedUntil)
     if (Free > Now && (!Soonest || Free - Now < Soonest->m_After))
-      Soonest = {.m_After = Free - Now, .m_Limited = m_Bounds.limited(Server)};
+      Soonest = {.m_After = Free - Now,
+                 .m_Limited = m_Bounds.limited(Upstream)};
   return Soonest;
 }
 
-bool RequestPermit::ready(const InstanceId &Server, Duration Patience,
+bool RequestPermit::ready(const InstanceId &Upstream, Duration Patience,
                           TimePoint Now) {
-  if (!m_Bounds.bound(Server, Now)) {
+  if (!m_Bounds.bound(Upstream, Now)) {
     drop();
     return true;
   }
-  if (holds(Now) && m_Held->m_Server == Server)
+  if (hasValidPermit(Now) && m_Held->m_Upstream == Upstream)
     return true;
-  const bool Coming =
-      m_Held && m_Held->m_Server == Server && Now < m_Held->m_Permit.m_From;
-  // A timer may end some ms before its time.
-  if (Coming)
+  const bool BeginsLater =
+      m_Held && m_Held->m_Upstream == Upstream && Now < m_Held->m_Permit.m_From;
+  // A timer may expire some milliseconds early.
+  if (BeginsLater)
     resumeAfter(m_Held->m_Permit.m_From - Now);
-  if (Coming || m_Asked == Server)
+  if (BeginsLater || m_PendingUpstream == Upstream)
     return false;
   drop();
-  m_Asked = Server;
-  const std::shared_ptr<PermitDesk> Desk = m_Desk.lock();
-  if (!Desk) {
-    answered(Server, {});
+  m_PendingUpstream = Upstream;
+  const std::shared_ptr<PermitService> Service = m_Service.lock();
+  if (!Service) {
+    onAnswer(Upstream, {});
     return false;
   }
-  Desk->ask(Server, Patience,
-            [Weak = std::weak_ptr(m_Self), Server](const PermitAnswer &Answer) {
-              if (const auto Self = Weak.lock())
-                (*Self)->answered(Server, Answer);
-            });
-  if (!holds(Now))
+  Service->ask(
+      Upstream, Patience,
+      [Weak = std::weak_ptr(m_Self), Upstream](const PermitAnswer &Answer) {
+        if (const auto Self = Weak.lock())
+          (*Self)->onAnswer(Upstream, Answer);
+      });
+  if (!hasValidPermit(Now))
     return false;
-  // It was granted at once: there is nothing to resume.
+  // The permit was granted during the call, so there is nothing to resume.
   m_Timer = Timer();
   return true;
 }
 
-void RequestPermit::heard(const AnswerFacts &Answer, const InstanceId &Server,
-                          TimePoint SentAt) {
-  const bool Other = !Answer.m_Instance.empty() && Answer.m_Instance != Server;
-  const std::shared_ptr<PermitDesk> Desk = m_Desk.lock();
-  if (Desk && Answer.m_ColdFor && !Other)
-    Desk->heard(Server, *Answer.m_ColdFor, SentAt);
+void RequestPermit::reportCold(const AnswerFacts &Answer,
+                               const InstanceId &Upstream, TimePoint SentAt) {
+  const bool FromOther =
+      !Answer.m_Instance.empty() && Answer.m_Instance != Upstream;
+  const std::shared_ptr<PermitService> Service = m_Service.lock();
+  if (Service && Answer.m_ColdFor && !FromOther)
+    Service->reportCold(Upstream, *Answer.m_ColdFor, SentAt);
 }
 
-void RequestPermit::answered(const InstanceId &Server,
+void RequestPermit::onAnswer(const InstanceId &Upstream,
                              const PermitAnswer &Answer) {
-  // The request has gone elsewhere meanwhile.
-  if (m_Asked != Server)
+  // The request has turned to another upstream meanwhile.
+  if (m_PendingUpstream != Upstream)
     return;
-  m_Asked.clear();
+  m_PendingUpstream.clear();
   const TimePoint Now = EventLoop::now();
   Duration Wait = 0us;
   if (Answer.m_Permit) {
-    m_Held = Held{.m_Server = Server, .m_Permit = *Answer.m_Permit};
+    m_Held = Held{.m_Upstream = Upstream, .m_Permit = *Answer.m_Permit};
     Wait = std::max<Duration>(0us, Answer.m_Permit->m_From - Now);
   } else {
-    m_Refused[Server] = std::max(Answer.m_Free, Now + LeastRefused);
+    m_RefusedUntil[Upstream] = std::max(Answer.m_RetryAt, Now + MinRefusal);
   }
   resumeAfter(Wait);
 }
--- a/packages/gateway/request/RequestPermit.h
+++ b/packages/gateway/request/RequestPermit.h
@@ -1,10 +1,10 @@
 /// \file
-/// One request's permits to be sent to servers that bear little.
+/// Permits of one request to be sent to upstreams that accept a limited rate.
 #ifndef HAVENSTAIR_GATEWAY_REQUEST_REQUESTPERMIT_H
 #define HAVENSTAIR_GATEWAY_REQUEST_REQUESTPERMIT_H
 
 #include "decisions/process/SendBounds.h"
-#include "gateway/request/PermitDesk.h"
+#include "gateway/request/PermitService.h"
 #include "gateway/request/RequestDialect.h"
 #include "wire/common/EventLoop.h"
 #include <functional>
@@ -14,59 +14,68 @@
 
 namespace havenstair {
 
-/// Asks for a permit right before each send to a server that is cold or names
-/// a limit, and keeps the request to it until the permit is used or has lapsed.
-/// A server that refuses is left out of the choice until a permit is to be had.
+/// Asks for a permit right before each send to an upstream that is cold or sets
+/// a rate limit, and binds the request to that upstream until the permit is
+/// used or has expired. An upstream for which a permit was refused is excluded
+/// from the choice until one may be available.
 class RequestPermit {
 public:
-  /// \p Resume: the request is to choose again. It is not called from within a
-  /// member of this class, nor after the end of this object. The desk may end
-  /// before the request does.
-  RequestPermit(EventLoop &Loop, std::weak_ptr<PermitDesk> Desk,
+  /// \p Resume is called when the request should choose an upstream again. It
+  /// is not called from within a member of this class, nor after this object is
+  /// destroyed. \p Service may be destroyed before the request ends.
+  RequestPermit(EventLoop &Loop, std::weak_ptr<PermitService> Service,
                 const SendBounds &Bounds, std::function<void()> Resume);
   RequestPermit(const RequestPermit &) = delete;
   RequestPermit &operator=(const RequestPermit &) = delete;
 
-  /// Whether the choice has to leave out \p Server.
-  bool excludes(const InstanceId &Server, TimePoint Now) const;
-  /// Whether the request may be sent to \p Server now. Otherwise it is resumed.
-  bool ready(const InstanceId &Server, Duration Patience, TimePoint Now);
-  /// Whether it has one that holds now, so that it must not be held up.
-  bool holds(TimePoint Now) const;
-  /// Gives up the permit, as its server can't take the request. \returns
-  /// whether there was one.
+  /// \returns whether \p Upstream must not be chosen now.
+  bool excludes(const InstanceId &Upstream, TimePoint Now) const;
+  /// \returns whether the request may be sent to \p Upstream now. If not, the
+  /// request is resumed later. \p Patience is how long it can wait for a
+  /// permit to begin.
+  bool ready(const InstanceId &Upstream, Duration Patience, TimePoint Now);
+  /// \returns whether the request has a permit that is valid now, so that
+  /// nothing else should delay it.
+  bool hasValidPermit(TimePoint Now) const;
+  /// Gives up the permit because its upstream cannot take the request.
+  /// \returns whether there was one.
   bool drop();
-  /// The permit is used.
+  /// Records that the permit is used.
   void noteSent() { drop(); }
-  /// The head of an answer of \p Server to what was sent at \p SentAt.
-  void heard(const AnswerFacts &Answer, const InstanceId &Server,
-             TimePoint SentAt);
-  /// A server that refused has a permit, or needs none any more.
-  struct Away {
+  /// Passes on how long \p Upstream stays cold if \p Answer, the head of its
+  /// answer to what was sent at \p SentAt, states that.
+  void reportCold(const AnswerFacts &Answer, const InstanceId &Upstream,
+                  TimePoint SentAt);
+  /// How long to wait for an upstream for which a permit was refused.
+  struct Deferral {
+    /// Time until a permit may be available, or the upstream needs none.
     Duration m_After = 0us;
-    bool m_Limited = false; ///< It names a limit; else it is cold.
+    bool m_Limited =
+        false; ///< The upstream sets a limit; otherwise it is cold.
   };
-  /// The soonest; none when none refused.
-  std::optional<Away> away(TimePoint Now) const;
+  /// \returns the shortest deferral; empty if no upstream is deferred.
+  std::optional<Deferral> deferral(TimePoint Now) const;
 
 private:
+  /// A permit and the upstream that it is for.
   struct Held {
-    InstanceId m_Server;
+    InstanceId m_Upstream;
     SendPermit m_Permit;
   };
 
   void resumeAfter(Duration Wait);
-  void answered(const InstanceId &Server, const PermitAnswer &Answer);
+  void onAnswer(const InstanceId &Upstream, const PermitAnswer &Answer);
 
   EventLoop &m_Loop;
-  std::weak_ptr<PermitDesk> m_Desk;
+  std::weak_ptr<PermitService> m_Service;
   const SendBounds &m_Bounds;
   std::function<void()> m_Resume;
   std::optional<Held> m_Held;
-  std::map<InstanceId, TimePoint> m_Refused; ///< Until when.
-  InstanceId m_Asked;                        ///< Empty when none is.
+  std::map<InstanceId, TimePoint> m_RefusedUntil;
+  /// Upstream for which a permit was asked and not answered yet; empty if none.
+  InstanceId m_PendingUpstream;
   Timer m_Timer;
-  /// Ends with this object; late answers find it gone.
+  /// Expires with this object, so that later callbacks can tell.
   std::shared_ptr<RequestPermit *> m_Self;
 };
 
--- a/packages/gateway/request/RequestQuota.cpp
+++ b/packages/gateway/request/RequestQuota.cpp
@@ -4,16 +4,16 @@
 
 namespace havenstair {
 
-double quotaUnits(const RequestDescriptor &Request, const Organisation *Of) {
-  if (Of == nullptr || !Of->m_Quota.limited())
+double quotaUnits(const RequestDescriptor &Request, const Organisation *Owner) {
+  if (Owner == nullptr || !Owner->m_Quota.limited())
     return 0;
-  return Of->m_Quota.costOf(Request.m_TokensTold,
-                            Request.m_PromptTokens + Request.m_MostOutput);
+  return Owner->m_Quota.costOf(Request.m_TokensTold,
+                               Request.m_PromptTokens + Request.m_MostOutput);
 }
 
-RequestQuota::RequestQuota(std::weak_ptr<QuotaDesk> Desk,
+RequestQuota::RequestQuota(std::weak_ptr<QuotaService> Service,
                            std::string Organisation, double Units)
-    : m_Desk(std::move(Desk)), m_Organisation(std::move(Organisation)),
+    : m_Service(std::move(Service)), m_Organisation(std::move(Organisation)),
       m_Units(Units), m_Self(std::make_shared<RequestQuota *>(this)) {}
 
 RequestQuota::~RequestQuota() {
@@ -22,34 +22,35 @@
 }
 
 void RequestQuota::ask(Duration Patience, Done Callback) {
-  const std::shared_ptr<QuotaDesk> Desk = m_Desk.lock();
-  if (!Desk)
+  const std::shared_ptr<QuotaService> Service = m_Service.lock();
+  if (!Service)
     return Callback(std::nullopt);
   m_State = State::Asked;
-  // The desk keeps this; it must not keep the desk.
-  Desk->take(m_Organisation, {.m_Units = m_Units, .m_Patience = Patience},
-             [Weak = std::weak_ptr(m_Self), Asked = m_Desk,
-              Organisation = m_Organisation, Units = m_Units,
-              Callback = std::move(Callback)](
-                 const std::optional<QuotaVerdict> &Verdict) {
-               const bool Granted = Verdict && Verdict->granted();
-               if (const auto Self = Weak.lock()) {
-                 (*Self)->m_State = Granted ? State::Granted : State::Free;
-                 return Callback(Verdict);
-               }
-               // The caller has left meanwhile.
-               if (const auto Desk = Asked.lock(); Desk && Granted)
-                 Desk->giveBack(Organisation, Units);
-             });
+  // The service keeps the callback, which must not keep the service alive.
+  Service->acquire(
+      m_Organisation, {.m_Units = m_Units, .m_Patience = Patience},
+      [Weak = std::weak_ptr(m_Self), WeakService = m_Service,
+       Organisation = m_Organisation, Units = m_Units,
+       Callback =
+           std::move(Callback)](const std::optional<QuotaVerdict> &Verdict) {
+        const bool Granted = Verdict && Verdict->granted();
+        if (const auto Self = Weak.lock()) {
+          (*Self)->m_State = Granted ? State::Granted : State::Free;
+          return Callback(Verdict);
+        }
+        // The request has ended meanwhile.
+        if (const auto Service = WeakService.lock(); Service && Granted)
+          Service->giveBack(Organisation, Units);
+      });
 }
 
 void RequestQuota::noteSent() { m_State = State::Sent; }
 
 void RequestQuota::giveBack() {
-  const bool Has = m_State == State::Granted || m_State == State::Sent;
+  const bool HasUnits = m_State == State::Granted || m_State == State::Sent;
   m_State = State::Free;
-  if (const auto Desk = m_Desk.lock(); Desk && Has && counted())
-    Desk->giveBack(m_Organisation, m_Units);
+  if (const auto Service = m_Service.lock(); Service && HasUnits && counted())
+    Service->giveBack(m_Organisation, m_Units);
 }
 
 } // namespace havenstair
--- a/packages/gateway/request/UpstreamCall.cpp
+++ b/packages/gateway/request/UpstreamCall.cpp
@@ -2,16 +2,17 @@
 
 namespace havenstair {
 
-/// A kept connection may be closing; what must not run twice cannot tell. And a
-/// runner of a plain service that is short of slots gives them to connections
-/// that come anew: of requests on kept ones it turned away 19 in 20, of others
-/// 9 in 20, in the same seconds.
+/// Requests that must not run twice use a new connection, because a kept one
+/// may be closing, which the sender cannot tell. So do requests to a plain
+/// service that is short of slots, as it gives them to new connections first:
+/// it rejected 19 of 20 requests on kept connections, and 9 of 20 on new ones
+/// at the same time.
 ConnectionUse connectionFor(bool Idempotent, bool Plain, double FailureRate) {
-  /// One failure counts for four seconds.
-  constexpr double LatelyFailed = 0.1;
-  const bool Short = Plain && FailureRate >= LatelyFailed;
-  return Idempotent && !Short ? ConnectionUse::Reused
-                              : ConnectionUse::FreshKept;
+  /// One failure keeps the rate above this for four seconds.
+  constexpr double RecentFailureRate = 0.1;
+  const bool ShortOfSlots = Plain && FailureRate >= RecentFailureRate;
+  return Idempotent && !ShortOfSlots ? ConnectionUse::Reused
+                                     : ConnectionUse::FreshKept;
 }
 
 HttpCall healthCall(const UpstreamInstance &At, const ServiceSpec *Service,
--- a/packages/gateway/request/UpstreamCall.h
+++ b/packages/gateway/request/UpstreamCall.h
@@ -1,5 +1,5 @@
 /// \file
-/// Calls to upstreams: on which connection, and whether one still answers.
+/// Connections and health probes to upstreams.
 #ifndef HAVENSTAIR_GATEWAY_REQUEST_UPSTREAMCALL_H
 #define HAVENSTAIR_GATEWAY_REQUEST_UPSTREAMCALL_H
 
@@ -9,12 +9,14 @@
 
 namespace havenstair {
 
-/// The connection for a request to an upstream with \p FailureRate. \p Plain:
-/// it is a server of a plain service.
+/// \returns which kind of connection a request to an upstream uses.
+/// \p Idempotent says that the request may run twice, \p Plain that the
+/// upstream belongs to a plain service. \p FailureRate is the upstream's.
 ConnectionUse connectionFor(bool Idempotent, bool Plain, double FailureRate);
 
-/// Asks \p At for its health; it has \p Timeout for each step. \p Service may
-/// be null.
+/// \returns a call to the health path of \p At. \p Timeout applies to the
+/// connect and to each wait for bytes. \p Service may be null, which means the
+/// path "/".
 HttpCall healthCall(const UpstreamInstance &At, const ServiceSpec *Service,
                     Duration Timeout);
 
--- a/packages/havenstaird/process/PolicySettings.cpp
+++ b/packages/havenstaird/process/PolicySettings.cpp
@@ -80,7 +80,7 @@
     {"--awaited-worth", "worth of a model that callers wait for", 0, 100,
      [](GatewayPolicy &P) -> double & { return P.m_Planner.m_AwaitedWorth; }},
     {"--replica-stays-ms", "least stay of a wanted replica", 0, 600000,
-     [](GatewayPolicy &P) -> double & { return P.m_ReplicaStaysMs; }},
+     [](GatewayPolicy &P) -> double & { return P.m_MinReplicaLifetimeMs; }},
     {"--free-adapter-rate", "requests a second that a free place is worth", 0,
      1000,
      [](GatewayPolicy &P) -> double & { return P.m_Adapters.m_RateWhenFree; }},
--- a/tests/decisions/process/ColdFleet.h
+++ b/tests/decisions/process/ColdFleet.h
@@ -141,7 +141,7 @@
 
   std::size_t boxes() const { return m_Boxes; }
   /// Most arrivals in the time in which they are counted.
-  std::size_t worstSpan() const {
+  std::size_t maxArrivalsInSpan() const {
     std::vector<TimePoint> At = m_Arrivals;
     std::sort(At.begin(), At.end());
     std::size_t Most = 0;
--- a/tests/decisions/process/SendPermitsTest.cpp
+++ b/tests/decisions/process/SendPermitsTest.cpp
@@ -52,7 +52,8 @@
     ColdFleet Troubled(How, Seed, Load, Bound, Boxes);
     Dice Draw(Seed + 1000);
     playTrouble(Troubled, Draw, 12);
-    const std::size_t Worst = std::max(Quiet.worstSpan(), Troubled.worstSpan());
+    const std::size_t Worst =
+        std::max(Quiet.maxArrivalsInSpan(), Troubled.maxArrivalsInSpan());
     Result.m_Worst =
         std::max(Result.m_Worst, static_cast<double>(Worst) / Bound.m_Most);
   }
@@ -119,7 +120,7 @@
     ColdFleet Fleet(Way::Admitter, Seed, *drawn(5, 200) / 10.0);
     Dice Draw(Seed + 1);
     playTrouble(Fleet, Draw, *drawn(4, 16));
-    RC_ASSERT(static_cast<double>(Fleet.worstSpan()) <=
+    RC_ASSERT(static_cast<double>(Fleet.maxArrivalsInSpan()) <=
               Tolerance.mostPerS(Spec));
   });
 }
@@ -194,7 +195,7 @@
     ColdFleet Fleet(Way::Admitter, Seed, *drawn(5, 100) / 10.0, Bound, Boxes);
     Dice Draw(Seed + 1);
     playTrouble(Fleet, Draw, *drawn(4, 16));
-    RC_ASSERT(static_cast<double>(Fleet.worstSpan()) <= Bound.m_Most);
+    RC_ASSERT(static_cast<double>(Fleet.maxArrivalsInSpan()) <= Bound.m_Most);
   });
 }
 
--- a/tests/gateway/EvacuationTest.cpp
+++ b/tests/gateway/EvacuationTest.cpp
@@ -45,7 +45,7 @@
     Options.m_DataCentre = DataCentreName("x");
     Options.m_Box = BoxName("box-" + std::to_string(10 + m_Started));
     Options.m_Capacity = m_Started < Strong ? 0.5 : 0.12;
-    Options.m_Bounds.m_Evacuation = 5s;
+    Options.m_Bounds.m_EvacuationDelay = 5s;
     ++m_Started;
     m_Boxes.push_back(makeGateway(Options, [] {}));
     return *m_Boxes.back();
--- a/tests/gateway/OrganisationTest.cpp
+++ b/tests/gateway/OrganisationTest.cpp
@@ -194,7 +194,7 @@
   Test.configure(1);
   GatewayOptions Options = Test.options();
   Options.m_Bounds.m_FailClosed = FailClosed;
-  Options.m_Bounds.m_Revocation = 1500ms;
+  Options.m_Bounds.m_RevocationDelay = 1500ms;
   Test.m_Gateway = Test.makeGateway(Options, [] {});
   REQUIRE(Test.until([&] { return Test.m_Gateway->state().ready(); }));
   const auto Status = [&](const std::string &Id) {
--- a/tests/gateway/PlatformTest.cpp
+++ b/tests/gateway/PlatformTest.cpp
@@ -157,7 +157,7 @@
   REQUIRE(Options.m_Seeds == std::vector{Endpoint{"10.0.0.2", 7380}});
   REQUIRE(Options.m_Bounds.m_GracePeriod == 6s);
   REQUIRE(Options.m_Bounds.m_RetryRatio == 0.3);
-  REQUIRE(Options.m_LeastLease == 1500ms);
+  REQUIRE(Options.m_MinLease == 1500ms);
   const std::string Missing =
       GENERATE("nodeName", "internalPortRange", "ipAddress", "listenAddresses");
   File.erase(Missing);
@@ -176,7 +176,7 @@
   CHECK(Options.m_Regions.regionOf(DataCentreName("c")) == RegionName("south"));
   CHECK(Options.m_Bounds.m_WarmUp ==
         WarmUpTolerance{.m_Factor = 1.5, .m_Allowance = 5});
-  CHECK(Options.m_Bounds.m_Evacuation == 4500ms);
+  CHECK(Options.m_Bounds.m_EvacuationDelay == 4500ms);
 
   const UpstreamInstance Server = platform::decodeServer(
       "servers/i-1", R"({"service":"s","address":"10.0.0.9:80","zone":"a",
--- a/tests/gateway/RequestPermitTest.cpp
+++ b/tests/gateway/RequestPermitTest.cpp
@@ -8,17 +8,17 @@
 namespace {
 
 /// Keeps questions until the test answers them.
-class HeldPermitDesk : public PermitDesk {
+class DeferredPermitService : public PermitService {
 public:
   void ask(const InstanceId &, Duration, Done Callback) override {
-    m_Asked.push_back(std::move(Callback));
+    m_Queries.push_back(std::move(Callback));
   }
-  void heard(const InstanceId &Server, Duration, TimePoint) override {
-    m_Heard.push_back(Server);
+  void reportCold(const InstanceId &Upstream, Duration, TimePoint) override {
+    m_ColdReports.push_back(Upstream);
   }
 
-  std::vector<Done> m_Asked;
-  std::vector<InstanceId> m_Heard;
+  std::vector<Done> m_Queries;
+  std::vector<InstanceId> m_ColdReports;
 };
 
 /// A request before two cold servers.
@@ -43,10 +43,10 @@
     const TimePoint Now = EventLoop::now();
     return {.m_Permit =
                 SendPermit{.m_From = Now + From, .m_Until = Now + From + For},
-            .m_Free = {}};
+            .m_RetryAt = {}};
   }
-  bool ready(const InstanceId &Server) {
-    return m_Permit.ready(Server, 1s, EventLoop::now());
+  bool ready(const InstanceId &Upstream) {
+    return m_Permit.ready(Upstream, 1s, EventLoop::now());
   }
   bool resumed(int Times) {
     return m_Loop.runUntil([&] { return m_Resumed == Times; }, 20s);
@@ -54,11 +54,12 @@
 
   EventLoop m_Loop;
   WarmUpView m_View;
-  ServerWords m_Words;
-  SendBounds m_Bounds{m_View, m_Words};
-  std::shared_ptr<HeldPermitDesk> m_Desk = std::make_shared<HeldPermitDesk>();
+  ServerWords m_Signals;
+  SendBounds m_Bounds{m_View, m_Signals};
+  std::shared_ptr<DeferredPermitService> m_Service =
+      std::make_shared<DeferredPermitService>();
   int m_Resumed = 0;
-  RequestPermit m_Permit{m_Loop, m_Desk, m_Bounds, [this] { ++m_Resumed; }};
+  RequestPermit m_Permit{m_Loop, m_Service, m_Bounds, [this] { ++m_Resumed; }};
 };
 
 } // namespace
@@ -68,15 +69,15 @@
   RequestPermitTest Test;
   REQUIRE_FALSE(Test.ready("e"));
   REQUIRE_FALSE(Test.ready("e"));
-  REQUIRE(Test.m_Desk->m_Asked.size() == 1);
-  Test.m_Desk->m_Asked[0](RequestPermitTest::granted(0us, 60s));
+  REQUIRE(Test.m_Service->m_Queries.size() == 1);
+  Test.m_Service->m_Queries[0](RequestPermitTest::granted(0us, 60s));
   REQUIRE(Test.resumed(1));
   REQUIRE(Test.m_Permit.excludes("f", EventLoop::now()));
   REQUIRE_FALSE(Test.m_Permit.excludes("e", EventLoop::now()));
   REQUIRE(Test.ready("e"));
   Test.m_Permit.noteSent();
   REQUIRE_FALSE(Test.ready("e"));
-  REQUIRE(Test.m_Desk->m_Asked.size() == 2);
+  REQUIRE(Test.m_Service->m_Queries.size() == 2);
 }
 
 TEST_CASE("A permit for later is waited for, and one that lapsed is no use",
@@ -84,18 +85,18 @@
   RequestPermitTest Test;
   REQUIRE_FALSE(Test.ready("e"));
   SECTION("for later") {
-    Test.m_Desk->m_Asked[0](RequestPermitTest::granted(60s, 60s));
+    Test.m_Service->m_Queries[0](RequestPermitTest::granted(60s, 60s));
     REQUIRE_FALSE(Test.ready("e"));
-    REQUIRE(Test.m_Desk->m_Asked.size() == 1);
+    REQUIRE(Test.m_Service->m_Queries.size() == 1);
   }
   SECTION("lapsed") {
-    Test.m_Desk->m_Asked[0](RequestPermitTest::granted(-2s, 1s));
+    Test.m_Service->m_Queries[0](RequestPermitTest::granted(-2s, 1s));
     REQUIRE_FALSE(Test.m_Permit.excludes("f", EventLoop::now()));
     REQUIRE_FALSE(Test.ready("e"));
-    REQUIRE(Test.m_Desk->m_Asked.size() == 2);
+    REQUIRE(Test.m_Service->m_Queries.size() == 2);
   }
   SECTION("its server is gone") {
-    Test.m_Desk->m_Asked[0](RequestPermitTest::granted(0us, 60s));
+    Test.m_Service->m_Queries[0](RequestPermitTest::granted(0us, 60s));
     REQUIRE(Test.m_Permit.drop());
     REQUIRE_FALSE(Test.m_Permit.drop());
     REQUIRE_FALSE(Test.m_Permit.excludes("f", EventLoop::now()));
@@ -106,29 +107,30 @@
           "[gateway][warmup]") {
   RequestPermitTest Test;
   REQUIRE_FALSE(Test.ready("e"));
-  Test.m_Desk->m_Asked[0](RequestPermitTest::granted(50ms, 60s));
+  Test.m_Service->m_Queries[0](RequestPermitTest::granted(50ms, 60s));
   // As by a timer that ends some ms before its time, or by other news.
   REQUIRE_FALSE(Test.m_Permit.ready("e", 1s, EventLoop::now() - 10ms));
   REQUIRE(Test.resumed(1));
   while (!Test.ready("e"))
     REQUIRE(Test.resumed(Test.m_Resumed + 1));
-  REQUIRE(Test.m_Desk->m_Asked.size() == 1);
+  REQUIRE(Test.m_Service->m_Queries.size() == 1);
 }
 
 TEST_CASE("A server that refuses is left out until a permit is to be had",
           "[gateway][warmup]") {
   RequestPermitTest Test;
-  REQUIRE_FALSE(Test.m_Permit.away(EventLoop::now()));
+  REQUIRE_FALSE(Test.m_Permit.deferral(EventLoop::now()));
   REQUIRE_FALSE(Test.ready("e"));
-  const TimePoint Free = EventLoop::now() + 60s;
-  Test.m_Desk->m_Asked[0]({.m_Permit = std::nullopt, .m_Free = Free});
+  const TimePoint RetryAt = EventLoop::now() + 60s;
+  Test.m_Service->m_Queries[0](
+      {.m_Permit = std::nullopt, .m_RetryAt = RetryAt});
   REQUIRE(Test.resumed(1));
   REQUIRE(Test.m_Permit.excludes("e", EventLoop::now()));
   REQUIRE_FALSE(Test.m_Permit.excludes("f", EventLoop::now()));
-  REQUIRE_FALSE(Test.m_Permit.excludes("e", Free));
-  REQUIRE(Test.m_Permit.away(Free - 5s)->m_After == 5s);
-  REQUIRE_FALSE(Test.m_Permit.away(Free - 5s)->m_Limited);
-  REQUIRE_FALSE(Test.m_Permit.away(Free));
+  REQUIRE_FALSE(Test.m_Permit.excludes("e", RetryAt));
+  REQUIRE(Test.m_Permit.deferral(RetryAt - 5s)->m_After == 5s);
+  REQUIRE_FALSE(Test.m_Permit.deferral(RetryAt - 5s)->m_Limited);
+  REQUIRE_FALSE(Test.m_Permit.deferral(RetryAt));
 }
 
 TEST_CASE("A request that goes elsewhere does not wait for the answer",
@@ -136,8 +138,8 @@
   RequestPermitTest Test;
   REQUIRE_FALSE(Test.ready("e"));
   REQUIRE(Test.ready("warm"));
-  Test.m_Desk->m_Asked[0](RequestPermitTest::granted(0us, 60s));
-  REQUIRE_FALSE(Test.m_Permit.holds(EventLoop::now()));
+  Test.m_Service->m_Queries[0](RequestPermitTest::granted(0us, 60s));
+  REQUIRE_FALSE(Test.m_Permit.hasValidPermit(EventLoop::now()));
 }
 
 TEST_CASE("A request that outlives the desk finds cold servers refused",
@@ -145,25 +147,25 @@
   RequestPermitTest Test;
   const auto Late = [&] {
     Test.ready("e");
-    return Test.m_Desk->m_Asked[0];
+    return Test.m_Service->m_Queries[0];
   }();
-  Test.m_Desk.reset();
+  Test.m_Service.reset();
   REQUIRE_FALSE(Test.ready("f"));
   REQUIRE(Test.m_Permit.excludes("f", EventLoop::now()));
   Late(RequestPermitTest::granted(0us, 60s));
-  REQUIRE_FALSE(Test.m_Permit.holds(EventLoop::now()));
+  REQUIRE_FALSE(Test.m_Permit.hasValidPermit(EventLoop::now()));
 }
 
 TEST_CASE("What an answer says of warm-up counts for who gave it",
           "[gateway][warmup]") {
   RequestPermitTest Test;
   const TimePoint Now = EventLoop::now();
-  Test.m_Permit.heard({}, "e", Now);
-  REQUIRE(Test.m_Desk->m_Heard.empty());
+  Test.m_Permit.reportCold({}, "e", Now);
+  REQUIRE(Test.m_Service->m_ColdReports.empty());
   AnswerFacts Facts;
   Facts.m_ColdFor = 2s;
-  Test.m_Permit.heard(Facts, "e", Now);
+  Test.m_Permit.reportCold(Facts, "e", Now);
   Facts.m_Instance = "other";
-  Test.m_Permit.heard(Facts, "e", Now);
-  REQUIRE(Test.m_Desk->m_Heard == std::vector<InstanceId>{"e"});
+  Test.m_Permit.reportCold(Facts, "e", Now);
+  REQUIRE(Test.m_Service->m_ColdReports == std::vector<InstanceId>{"e"});
 }
--- a/tests/gateway/RequestQuotaTest.cpp
+++ b/tests/gateway/RequestQuotaTest.cpp
@@ -8,16 +8,17 @@
 namespace {
 
 /// Keeps questions until the test answers them.
-class HeldDesk : public QuotaDesk {
+class DeferredQuotaService : public QuotaService {
 public:
-  void take(const std::string &, const QuotaRequest &, Done Callback) override {
-    m_Asked.push_back(std::move(Callback));
+  void acquire(const std::string &, const QuotaRequest &,
+               Done Callback) override {
+    m_Queries.push_back(std::move(Callback));
   }
   void giveBack(const std::string &, double Units) override {
     m_GivenBack += Units;
   }
 
-  std::vector<Done> m_Asked;
+  std::vector<Done> m_Queries;
   double m_GivenBack = 0;
 };
 
@@ -27,53 +28,53 @@
 
 TEST_CASE("What is granted and not sent is given back, once",
           "[gateway][quota]") {
-  const auto Desk = std::make_shared<HeldDesk>();
+  const auto Service = std::make_shared<DeferredQuotaService>();
   const auto Grant = [&](RequestQuota &Quota) {
     bool Answered = false;
     REQUIRE_FALSE(Quota.granted());
     Quota.ask(0us, [&](const auto &) { Answered = true; });
-    Desk->m_Asked.back()(Granted);
+    Service->m_Queries.back()(Granted);
     REQUIRE(Answered);
     REQUIRE(Quota.granted());
   };
   {
-    RequestQuota Ended(Desk, "o", 700);
+    RequestQuota Ended(Service, "o", 700);
     Grant(Ended);
   }
-  REQUIRE(Desk->m_GivenBack == 700);
+  REQUIRE(Service->m_GivenBack == 700);
   {
-    RequestQuota Refused(Desk, "o", 30);
+    RequestQuota Refused(Service, "o", 30);
     Grant(Refused);
     Refused.giveBack();
   }
-  REQUIRE(Desk->m_GivenBack == 730);
+  REQUIRE(Service->m_GivenBack == 730);
   {
-    RequestQuota Sent(Desk, "o", 5);
+    RequestQuota Sent(Service, "o", 5);
     Grant(Sent);
     Sent.noteSent();
   }
-  REQUIRE(Desk->m_GivenBack == 730);
+  REQUIRE(Service->m_GivenBack == 730);
 }
 
 TEST_CASE("A grant that comes after the request has ended is given back",
           "[gateway][quota]") {
-  const auto Desk = std::make_shared<HeldDesk>();
+  const auto Service = std::make_shared<DeferredQuotaService>();
   bool Answered = false;
   {
-    RequestQuota Quota(Desk, "o", 700);
+    RequestQuota Quota(Service, "o", 700);
     Quota.ask(0us, [&](const auto &) { Answered = true; });
   }
-  Desk->m_Asked.at(0)(Granted);
+  Service->m_Queries.at(0)(Granted);
   REQUIRE_FALSE(Answered);
-  REQUIRE(Desk->m_GivenBack == 700);
+  REQUIRE(Service->m_GivenBack == 700);
 }
 
 TEST_CASE("A request that outlives the desk asks nobody", "[gateway][quota]") {
-  auto Desk = std::make_shared<HeldDesk>();
-  RequestQuota Quota(Desk, "o", 700);
+  auto Service = std::make_shared<DeferredQuotaService>();
+  RequestQuota Quota(Service, "o", 700);
   Quota.ask(0us, [](const auto &) {});
-  Desk->m_Asked.at(0)(Granted);
-  Desk.reset();
+  Service->m_Queries.at(0)(Granted);
+  Service.reset();
   Quota.giveBack();
   bool Told = true;
   Quota.ask(0us, [&](const auto &Verdict) { Told = Verdict.has_value(); });
--- a/tests/gateway/ServerLeavingTest.cpp
+++ b/tests/gateway/ServerLeavingTest.cpp
@@ -1,13 +1,13 @@
-#include "gateway/ServerWordsFleet.h"
+#include "gateway/UpstreamSignalsFleet.h"
 
 using namespace havenstair;
 
 namespace {
 
-const std::string Leaves = "Server-Leaving: 1\r\n";
+const std::string LeavingHeader = "Server-Leaving: 1\r\n";
 
 /// For so long a server that leaves may still be a last resort.
-constexpr Duration WordIsNew = 600ms;
+constexpr Duration LastResortTime = 600ms;
 
 } // namespace
 
@@ -16,34 +16,34 @@
     "box, whatever the list says",
     "[gateway][server-leaving]") {
   const auto Boxes = GENERATE(std::size_t{1}, std::size_t{3}, std::size_t{20});
-  ServerWordsFleet Test(Boxes);
-  Test.addSaying("leaving", Leaves);
+  UpstreamSignalsFleet Test(Boxes);
+  Test.addRunnerSending("leaving", LeavingHeader);
   Test.begin();
   REQUIRE(Test.sendOne().m_Served == 1);
-  Test.wait(WordIsNew);
+  Test.wait(LastResortTime);
   const std::size_t Before = Test.m_Arrived["leaving"].size();
   const bool Others = GENERATE(true, false);
   if (Others) {
-    Test.addSaying("whole");
+    Test.addRunnerSending("whole");
     Test.begin();
   }
-  const FleetOutcome First = Test.play(1s);
+  const FleetOutcome First = Test.sendFor(1s);
   // Its heartbeat goes on to say that it is ready.
   Json Entry = Test.entry("leaving", "ready");
   Entry["slots"] = 9;
   Test.m_Store.put("servers/leaving", dumpJson(Entry));
-  const FleetOutcome Second = Test.play(1s);
-  CAPTURE(Boxes, Others, First.m_Served, First.m_Told, Second.m_Served);
+  const FleetOutcome Second = Test.sendFor(1s);
+  CAPTURE(Boxes, Others, First.m_Served, First.m_RetryLater, Second.m_Served);
   REQUIRE(Test.m_Arrived["leaving"].size() == Before);
-  REQUIRE((Others ? First.m_Served : First.m_Told) == First.all());
-  REQUIRE((Others ? Second.m_Served : Second.m_Told) == Second.all());
+  REQUIRE((Others ? First.m_Served : First.m_RetryLater) == First.all());
+  REQUIRE((Others ? Second.m_Served : Second.m_RetryLater) == Second.all());
 }
 
 TEST_CASE("A box that joins hears which servers leave from those that know",
           "[gateway][server-leaving]") {
   const auto Boxes = GENERATE(std::size_t{3}, std::size_t{20});
-  ServerWordsFleet Test(Boxes);
-  Test.addSaying("leaving", Leaves);
+  UpstreamSignalsFleet Test(Boxes);
+  Test.addRunnerSending("leaving", LeavingHeader);
   Test.begin();
   REQUIRE(Test.sendOne().m_Served == 1);
   const auto AllKnow = [&] {
@@ -58,7 +58,7 @@
   Test.addBox();
   REQUIRE(Test.until(AllKnow));
   SECTION("and a later life of the server is used again") {
-    Test.m_Words["leaving"] = "";
+    Test.m_SignalHeaders["leaving"] = "";
     Test.listBorn("leaving", 7);
     REQUIRE(Test.sendOne().m_Served == 1);
   }
@@ -67,8 +67,8 @@
 TEST_CASE(
     "A stream that runs at a server when it says that it leaves ends well",
     "[gateway][server-leaving]") {
-  ServerWordsFleet Test(1);
-  Test.addSaying("leaving");
+  UpstreamSignalsFleet Test(1);
+  Test.addRunnerSending("leaving");
   StandinRunner::ConnectionPtr Stream;
   Test.m_Runners["leaving"]->setBehaviour(
       [&](const StandinRunner::Request &Of,
@@ -77,7 +77,7 @@
           Stream = To;
           To->write(StandinRunner::streamHead(Of) + StandinRunner::event(1));
         } else {
-          To->write(StandinRunner::answer(Of, 200, "body", Leaves));
+          To->write(StandinRunner::answer(Of, 200, "body", LeavingHeader));
         }
       });
   Test.begin();
@@ -87,7 +87,7 @@
       [&](const HttpAnswer &Answer) { Whole = Answer; });
   REQUIRE(Test.until([&] { return Stream != nullptr; }));
   REQUIRE(Test.sendOne().m_Served == 1);
-  Test.wait(WordIsNew);
+  Test.wait(LastResortTime);
   Stream->write(StandinRunner::event(2) + StandinRunner::streamEnd());
   REQUIRE(Test.until([&] { return Whole.has_value(); }));
   REQUIRE(Whole->ok());
--- a/tests/gateway/ServerLimitTest.cpp
+++ b/tests/gateway/ServerLimitTest.cpp
@@ -1,4 +1,4 @@
-#include "gateway/ServerWordsFleet.h"
+#include "gateway/UpstreamSignalsFleet.h"
 
 using namespace havenstair;
 
@@ -13,15 +13,16 @@
 TEST_CASE("All boxes together keep the limit that a server names",
           "[gateway][server-limit]") {
   const auto Boxes = GENERATE(std::size_t{1}, std::size_t{3}, std::size_t{20});
-  ServerWordsFleet Test(Boxes);
-  Test.addSaying("limited", limit("1"));
+  UpstreamSignalsFleet Test(Boxes);
+  Test.addRunnerSending("limited", limit("1"));
   const bool Others = GENERATE(true, false);
   if (Others)
-    Test.addSaying("whole");
+    Test.addRunnerSending("whole");
   Test.begin();
-  const FleetOutcome All = Test.play(8s);
-  CAPTURE(Boxes, Others, All.m_Served, All.m_Told, All.m_Other);
-  REQUIRE(Test.worstSpan("limited") <= ServerWordsFleet::allowed(1));
+  const FleetOutcome All = Test.sendFor(8s);
+  CAPTURE(Boxes, Others, All.m_Served, All.m_RetryLater, All.m_Other);
+  REQUIRE(Test.maxArrivalsInSpan("limited") <=
+          UpstreamSignalsFleet::allowed(1));
   REQUIRE(All.m_Other == 0);
 }
 
@@ -29,54 +30,54 @@
           "told",
           "[gateway][server-limit]") {
   const auto Boxes = GENERATE(std::size_t{3}, std::size_t{20});
-  ServerWordsFleet Test(Boxes);
-  Test.addSaying("limited", limit("2.5"));
+  UpstreamSignalsFleet Test(Boxes);
+  Test.addRunnerSending("limited", limit("2.5"));
   Test.begin();
   REQUIRE(Test.sendOne().m_Served == 1);
-  REQUIRE(Test.until([&] { return Test.allBelieve("limited", 2.5); }));
+  REQUIRE(Test.until([&] { return Test.allKnowLimit("limited", 2.5); }));
   SECTION("of another value") {
-    Test.m_Words["limited"] = limit("0.5");
+    Test.m_SignalHeaders["limited"] = limit("0.5");
     REQUIRE(Test.sendOne().m_Served == 1);
-    REQUIRE(Test.until([&] { return Test.allBelieve("limited", 0.5); }));
+    REQUIRE(Test.until([&] { return Test.allKnowLimit("limited", 0.5); }));
   }
   SECTION("of its end") {
-    Test.m_Words["limited"] = "";
+    Test.m_SignalHeaders["limited"] = "";
     REQUIRE(Test.sendOne().m_Served == 1);
-    REQUIRE(Test.until([&] { return Test.noneBelieves("limited"); }));
+    REQUIRE(Test.until([&] { return Test.noneKnowsLimit("limited"); }));
   }
   SECTION("a value that cannot be read changes nothing") {
-    Test.m_Words["limited"] = limit("many");
+    Test.m_SignalHeaders["limited"] = limit("many");
     REQUIRE(Test.sendOne().m_Served == 1);
-    REQUIRE(Test.allBelieve("limited", 2.5));
+    REQUIRE(Test.allKnowLimit("limited", 2.5));
   }
   SECTION("a box that joins hears of it from those that know") {
     Test.addBox();
-    REQUIRE(Test.until([&] { return Test.allBelieve("limited", 2.5); }));
+    REQUIRE(Test.until([&] { return Test.allKnowLimit("limited", 2.5); }));
   }
 }
 
 TEST_CASE("A limit of nothing comes to its end", "[gateway][server-limit]") {
-  ServerWordsFleet Test(3);
-  Test.addSaying("limited", limit("0"));
+  UpstreamSignalsFleet Test(3);
+  Test.addRunnerSending("limited", limit("0"));
   Test.begin();
   REQUIRE(Test.sendOne().m_Served == 1);
-  REQUIRE(Test.until([&] { return Test.allBelieve("limited", 0); }));
-  Test.m_Words["limited"] = "";
-  while (!Test.noneBelieves("limited"))
-    Test.play(200ms);
-  REQUIRE(Test.play(1s).m_Served == 20);
+  REQUIRE(Test.until([&] { return Test.allKnowLimit("limited", 0); }));
+  Test.m_SignalHeaders["limited"] = "";
+  while (!Test.noneKnowsLimit("limited"))
+    Test.sendFor(200ms);
+  REQUIRE(Test.sendFor(1s).m_Served == 20);
 }
 
 TEST_CASE("What a limited server does not take is refused at once, with a time",
           "[gateway][server-limit]") {
-  ServerWordsFleet Test(3);
-  Test.addSaying("limited", limit("1"));
+  UpstreamSignalsFleet Test(3);
+  Test.addRunnerSending("limited", limit("1"));
   Test.begin();
   REQUIRE(Test.sendOne().m_Served == 1);
-  REQUIRE(Test.until([&] { return Test.allBelieve("limited", 1); }));
-  const FleetOutcome All = Test.play(3s);
-  CAPTURE(All.m_Served, All.m_Told, All.m_Other);
+  REQUIRE(Test.until([&] { return Test.allKnowLimit("limited", 1); }));
+  const FleetOutcome All = Test.sendFor(3s);
+  CAPTURE(All.m_Served, All.m_RetryLater, All.m_Other);
   REQUIRE(All.m_Other == 0);
-  REQUIRE(All.m_Told >= 40);
+  REQUIRE(All.m_RetryLater >= 40);
   REQUIRE(All.m_Served >= 2);
 }
--- a/tests/gateway/ServerRetryAfterTest.cpp
+++ b/tests/gateway/ServerRetryAfterTest.cpp
@@ -1,4 +1,4 @@
-#include "gateway/ServerWordsFleet.h"
+#include "gateway/UpstreamSignalsFleet.h"
 
 using namespace havenstair;
 
@@ -16,40 +16,41 @@
     "[gateway][server-retry-after]") {
   const auto Boxes = GENERATE(std::size_t{1}, std::size_t{3});
   const bool Others = GENERATE(true, false);
-  ServerWordsFleet Test(Boxes);
-  Test.addSaying("busy", retryAfter("30"));
+  UpstreamSignalsFleet Test(Boxes);
+  Test.addRunnerSending("busy", retryAfter("30"));
   Test.m_Status["busy"] = 503;
   Test.begin();
-  const FleetOutcome First = Test.play(1s);
+  const FleetOutcome First = Test.sendFor(1s);
   if (Others) {
-    Test.addSaying("whole");
+    Test.addRunnerSending("whole");
     Test.begin();
   }
-  const FleetOutcome Second = Test.play(1s);
-  CAPTURE(Boxes, Others, First.m_Told, Second.m_Served, Second.m_Told);
+  const FleetOutcome Second = Test.sendFor(1s);
+  CAPTURE(Boxes, Others, First.m_RetryLater, Second.m_Served,
+          Second.m_RetryLater);
   REQUIRE(Test.m_Arrived["busy"].size() == Boxes);
-  REQUIRE(First.m_Told == First.all());
-  REQUIRE((Others ? Second.m_Served : Second.m_Told) == Second.all());
+  REQUIRE(First.m_RetryLater == First.all());
+  REQUIRE((Others ? Second.m_Served : Second.m_RetryLater) == Second.all());
 }
 
 TEST_CASE("A server is sent to again after the time that it named",
           "[gateway][server-retry-after]") {
-  ServerWordsFleet Test(1);
-  Test.addSaying("busy", retryAfter("0.5"));
+  UpstreamSignalsFleet Test(1);
+  Test.addRunnerSending("busy", retryAfter("0.5"));
   Test.m_Status["busy"] = 503;
   Test.begin();
-  const FleetOutcome First = Test.play(200ms);
-  REQUIRE(First.m_Told == First.all());
+  const FleetOutcome First = Test.sendFor(200ms);
+  REQUIRE(First.m_RetryLater == First.all());
   Test.m_Status["busy"] = 200;
-  Test.m_Words["busy"] = "";
+  Test.m_SignalHeaders["busy"] = "";
   REQUIRE(Test.sendOne().m_Served == 1);
 }
 
 TEST_CASE(
     "An answer to another request does not end the time that a server named",
     "[gateway][server-retry-after]") {
-  ServerWordsFleet Test(1);
-  Test.addSaying("busy");
+  UpstreamSignalsFleet Test(1);
+  Test.addRunnerSending("busy");
   Test.begin();
   // The first is answered late, after the second was turned away.
   std::vector<std::pair<StandinRunner::Request, StandinRunner::ConnectionPtr>>
@@ -75,6 +76,6 @@
   Held.front().second->write(
       StandinRunner::answer(Held.front().first, 200, "body"));
   REQUIRE(Test.until([&] { return Statuses == std::vector{503, 200}; }));
-  REQUIRE(Test.play(200ms).m_Served == 0);
+  REQUIRE(Test.sendFor(200ms).m_Served == 0);
   REQUIRE(Test.m_Runners["busy"]->requests().size() == 2);
 }
--- a/tests/gateway/EarlyRequestsTest.cpp
+++ b/tests/gateway/StartupQueueTest.cpp
@@ -1,4 +1,4 @@
-#include "gateway/request/EarlyRequests.h"
+#include "gateway/request/StartupQueue.h"
 #include "gateway/GatewayTest.h"
 
 using namespace havenstair;
@@ -12,8 +12,8 @@
   To->write(StandinRunner::answer(Of, 200, "body"));
 }
 
-EarlyRequests::Item early(TimePoint Arrived, std::optional<Duration> Deadline) {
-  EarlyRequests::Item Result{.m_Arrived = Arrived};
+StartupQueue::Item early(TimePoint Arrived, std::optional<Duration> Deadline) {
+  StartupQueue::Item Result{.m_Arrived = Arrived};
   Result.m_Request.m_Deadline = Deadline;
   return Result;
 }
@@ -23,19 +23,20 @@
 TEST_CASE("Early requests are kept while the lists are known to come",
           "[gateway][start]") {
   const TimePoint Start = TimePoint{} + 100s;
-  EarlyRequests Kept(
-      Start, {.m_Within = 1500ms, .m_PartOfDeadline = 0.5, .m_Most = 2});
+  StartupQueue Kept(
+      Start,
+      {.m_MaxWait = 1500ms, .m_DeadlineFraction = 0.5, .m_MaxRequests = 2});
   SECTION("no longer than a start takes") {
     CHECK(Kept.keep(early(Start, std::nullopt), Start));
-    CHECK(Kept.takeOverdue(Start + 1499ms).empty());
-    CHECK(Kept.takeOverdue(Start + 1500ms).size() == 1);
+    CHECK(Kept.takeExpired(Start + 1499ms).empty());
+    CHECK(Kept.takeExpired(Start + 1500ms).size() == 1);
     CHECK_FALSE(Kept.keep(early(Start + 1600ms, std::nullopt), Start + 1600ms));
   }
   SECTION("no longer than half of the caller's time") {
     CHECK(Kept.keep(early(Start, 600ms), Start));
     CHECK(Kept.keep(early(Start, 5s), Start));
-    CHECK(Kept.takeOverdue(Start + 299ms).empty());
-    CHECK(Kept.takeOverdue(Start + 300ms).size() == 1);
+    CHECK(Kept.takeExpired(Start + 299ms).empty());
+    CHECK(Kept.takeExpired(Start + 300ms).size() == 1);
     CHECK(Kept.size() == 1);
   }
   SECTION("only so many") {
--- a/tests/gateway/ServerWordsFleet.h
+++ b/tests/gateway/UpstreamSignalsFleet.h
@@ -1,7 +1,7 @@
 /// \file
 /// A fleet before runners that say something of themselves in their answers.
-#ifndef HAVENSTAIR_TESTS_GATEWAY_SERVERWORDSFLEET_H
-#define HAVENSTAIR_TESTS_GATEWAY_SERVERWORDSFLEET_H
+#ifndef HAVENSTAIR_TESTS_GATEWAY_UPSTREAMSIGNALSFLEET_H
+#define HAVENSTAIR_TESTS_GATEWAY_UPSTREAMSIGNALSFLEET_H
 
 #include "gateway/GatewayTest.h"
 
@@ -13,21 +13,21 @@
 /// What became of requests.
 struct FleetOutcome {
   int m_Served = 0;
-  int m_Told = 0; ///< Refused, with when to come back.
+  int m_RetryLater = 0; ///< Refused, with when to come back.
   int m_Other = 0;
 
-  int all() const { return m_Served + m_Told + m_Other; }
+  int all() const { return m_Served + m_RetryLater + m_Other; }
 };
 
 /// A fleet before runners that say something of themselves in their answers.
-class ServerWordsFleet : public GatewayTest {
+class UpstreamSignalsFleet : public GatewayTest {
 public:
   /// From the first word on; all boxes have heard of it by then.
   static constexpr Duration Grace = 3s;
   static constexpr Duration Span = 4s;
   static constexpr Duration BetweenRequests = 50ms;
 
-  explicit ServerWordsFleet(std::size_t Boxes) {
+  explicit UpstreamSignalsFleet(std::size_t Boxes) {
     configure(1);
     for (std::size_t Number = 0; Number < Boxes; ++Number)
       addBox();
@@ -41,13 +41,13 @@
     m_Boxes.push_back(makeGateway(Options, [] {}));
   }
 
-  bool allBelieve(const InstanceId &Id, double PerS) const {
+  bool allKnowLimit(const InstanceId &Id, double PerS) const {
     return std::all_of(m_Boxes.begin(), m_Boxes.end(), [&](const auto &Box) {
       const NamedLimit *Limit = Box->state().m_Words.limit(Id);
       return Limit != nullptr && Limit->m_PerS == PerS;
     });
   }
-  bool noneBelieves(const InstanceId &Id) const {
+  bool noneKnowsLimit(const InstanceId &Id) const {
     return std::none_of(m_Boxes.begin(), m_Boxes.end(), [&](const auto &Box) {
       return Box->state().m_Words.limit(Id) != nullptr;
     });
@@ -57,18 +57,20 @@
   FleetOutcome sendOne() {
     FleetOutcome Result;
     while (Result.m_Served == 0)
-      Result = play(BetweenRequests + BetweenRequests / 2);
+      Result = sendFor(BetweenRequests + BetweenRequests / 2);
     return Result;
   }
 
   /// Adds a runner that answers well, with the header fields \p Words.
-  void addSaying(const std::string &Id, const std::string &Words = "") {
-    m_Words[Id] = Words;
+  void addRunnerSending(const std::string &Id,
+                        const std::string &Headers = "") {
+    m_SignalHeaders[Id] = Headers;
     addRunner(Id, [this, Id](const Request &Of, const ConnectionPtr &To) {
       if (Of.m_Method != "POST")
         return;
       m_Arrived[Id].push_back(EventLoop::now());
-      To->write(StandinRunner::answer(Of, m_Status[Id], "body", m_Words[Id]));
+      To->write(
+          StandinRunner::answer(Of, m_Status[Id], "body", m_SignalHeaders[Id]));
     });
     m_Status[Id] = 200;
   }
@@ -83,7 +85,7 @@
   }
 
   /// Requests come through all boxes in turn for \p For; all get an answer.
-  FleetOutcome play(Duration For) {
+  FleetOutcome sendFor(Duration For) {
     FleetOutcome Result;
     int Done = 0;
     int Sent = 0;
@@ -99,7 +101,7 @@
               ++Result.m_Served;
             else if (Answer.m_Status == 503 &&
                      !findHeader(Answer.m_Headers, "Retry-After").empty())
-              ++Result.m_Told;
+              ++Result.m_RetryLater;
             else
               ++Result.m_Other;
           });
@@ -113,7 +115,7 @@
   }
 
   /// Most arrivals in any span, from the time on at which the limit binds.
-  std::size_t worstSpan(const std::string &Id) {
+  std::size_t maxArrivalsInSpan(const std::string &Id) {
     const std::vector<TimePoint> &At = m_Arrived[Id];
     std::size_t Most = 0;
     for (std::size_t First = 0, Next = 0; Next < At.size(); ++Next) {
@@ -132,7 +134,8 @@
   }
 
   std::vector<std::unique_ptr<Gateway>> m_Boxes;
-  std::map<std::string, std::string> m_Words; ///< Header fields of answers.
+  std::map<std::string, std::string>
+      m_SignalHeaders; ///< Header fields of answers.
   std::map<std::string, int> m_Status;
   std::map<std::string, std::vector<TimePoint>> m_Arrived;
   int m_Ids = 0;
--- a/tests/soak/OrderOracle.cpp
+++ b/tests/soak/OrderOracle.cpp
@@ -21,8 +21,8 @@
   const bool HeldUp =
       m_Trouble.healed(Order.m_Holder, From, Order.m_At) ||
       m_Trouble.healed(Order.m_Engine, From, Order.m_At) ||
-      !m_Trouble.calm(Disturbances::Harness, Order.m_At - m_Bounds.m_OrderTurn,
-                      Order.m_At);
+      !m_Trouble.calm(Disturbances::Harness,
+                      Order.m_At - m_Bounds.m_LeaderHandover, Order.m_At);
   // An engine that checks tokens guards itself against the others.
   const bool Guarded =
       Order.m_Fenced &&
@@ -48,7 +48,8 @@
 
 void OrderOracle::judgeTurn(const OrderArrival &Order) {
   for (const auto &[Holder, Last] : m_Engines[Order.m_Engine].m_LastOf)
-    if (Holder != Order.m_Holder && Order.m_At < Last + m_Bounds.m_OrderTurn)
+    if (Holder != Order.m_Holder &&
+        Order.m_At < Last + m_Bounds.m_LeaderHandover)
       m_Broken({Promise::OneGiver, Order.m_At, Order.m_Engine,
                 Order.m_Holder + " orders " +
                     std::to_string((Order.m_At - Last) / 1ms) + " ms after " +
--- a/tests/soak/SoakBounds.h
+++ b/tests/soak/SoakBounds.h
@@ -13,8 +13,8 @@
   Duration m_Configure = 2s;    ///< A configuration is in force.
   Duration m_Rollback = 250ms;  ///< A box may still show what it had before.
   Duration m_RollbackHeld = 2s; ///< The same for a box that was held up.
-  Duration m_OrderTurn = 3s;    ///< Between orders of two givers.
-  Duration m_Thaw = 300ms;      ///< Orders count again after trouble.
+  Duration m_LeaderHandover = 3s; ///< Between orders of two givers.
+  Duration m_Thaw = 300ms;        ///< Orders count again after trouble.
   Duration m_LoadWindow = 5s;
   double m_LoadsPerS = 2;
   double m_LoadOverage = 1.1;
--- a/tests/soak/SoakBox.cpp
+++ b/tests/soak/SoakBox.cpp
@@ -42,7 +42,7 @@
       {"bounds",
        {{"gracePeriodS", GraceSeconds},
         {"drainTimeoutMs", Bounds.m_Drain / 1ms},
-        {"leaseDurationMs", Bounds.m_OrderTurn / 1ms},
+        {"leaseDurationMs", Bounds.m_LeaderHandover / 1ms},
         {"retryBudgetRatio", Bounds.m_RetryRatio},
         {"budgetWindowS", Bounds.m_RetryWindow / 1s},
         {"retryBudgetAllowance", Bounds.m_RetryAllowance},
