--- a/packages/gateway/process/CrashDetector.cpp
+++ b/packages/gateway/process/CrashDetector.cpp
@@ -38,10 +38,10 @@
       m_Suspects.try_emplace(Upstream, Suspect{.m_At = Now});
   Suspect &Entry = Found->second;
   Entry.m_At = Now;
-  const bool Noted = !Request || Entry.m_Running.contains(*Request);
+  const bool AlreadyKnown = !Request || Entry.m_Running.contains(*Request);
   if (Request && Entry.m_Running.size() < MaxRunning)
     Entry.m_Running.insert(*Request);
-  if (Entry.m_State == State::Ended && Noted)
+  if (Entry.m_State == State::Ended && AlreadyKnown)
     return;
   if (Entry.m_State == State::Ended)
     return m_Hooks.m_Ended(Upstream, {*Request});
@@ -74,9 +74,9 @@
   const bool Refused = Answer.m_End == HttpEnd::NotWritten && InTime;
   const AnswerFacts Facts =
       m_Hooks.m_ReadAnswer(Answer.m_Status, Answer.m_Headers);
-  const bool Other =
+  const bool OtherInstance =
       !Facts.m_Instance.empty() && Facts.m_Instance != Upstream.m_Id;
-  if (Refused || Other || m_View.past(Upstream))
+  if (Refused || OtherInstance || m_View.past(Upstream))
     return markEnded(Upstream);
   const bool Answered = Answer.m_End == HttpEnd::Complete;
   Found->second.m_State = Answered ? State::Alive : State::Silent;
@@ -92,9 +92,9 @@
 
 bool CrashDetector::probing(const RequestDigest &Request) const {
   return std::any_of(m_Suspects.begin(), m_Suspects.end(),
-                     [&](const auto &Each) {
-                       return Each.second.m_State == State::Probing &&
-                              Each.second.m_Running.contains(Request);
+                     [&](const auto &Entry) {
+                       return Entry.second.m_State == State::Probing &&
+                              Entry.second.m_Running.contains(Request);
                      });
 }
 
@@ -124,8 +124,8 @@
 }
 
 void CrashDetector::prune(TimePoint Now) {
-  std::erase_if(m_Suspects, [&](const auto &Each) {
-    return Now - Each.second.m_At > SuspectRetention;
+  std::erase_if(m_Suspects, [&](const auto &Entry) {
+    return Now - Entry.second.m_At > SuspectRetention;
   });
 }
 
--- a/packages/gateway/process/CrashExchange.cpp
+++ b/packages/gateway/process/CrashExchange.cpp
@@ -40,9 +40,9 @@
 
 Json loggedDigests(const std::vector<RequestDigest> &Requests) {
   Json Result = Json::array();
-  for (const RequestDigest &Each : Requests)
+  for (const RequestDigest &Request : Requests)
     if (Result.size() < MaxLoggedDigests)
-      Result.push_back(Each.str());
+      Result.push_back(Request.str());
   return Result;
 }
 
@@ -66,11 +66,11 @@
     m_Hooks.m_ProbeEnded("ended");
     reportEnd(Upstream, {Running.begin(), Running.end()});
   };
-  Outer.m_NotEnded = [this, Lives = std::move(Outer.m_NotEnded)](
+  Outer.m_NotEnded = [this, NotEnded = std::move(Outer.m_NotEnded)](
                          const UpstreamLife &Upstream,
                          const AnswerFacts &Answer, TimePoint AskedAt) {
     m_Hooks.m_ProbeEnded("lives");
-    Lives(Upstream, Answer, AskedAt);
+    NotEnded(Upstream, Answer, AskedAt);
     m_Hooks.m_Changed();
   };
   return Outer;
@@ -93,9 +93,9 @@
 
 void CrashExchange::onConnectFailed(const UpstreamLife &Upstream) {
   const TimePoint Now = EventLoop::now();
-  for (const Run &Each : m_Runs)
-    if (Each.m_Upstream == Upstream)
-      m_Detector.onConnectionBroken(Upstream, Each.m_Request, Now);
+  for (const Run &Completed : m_Runs)
+    if (Completed.m_Upstream == Upstream)
+      m_Detector.onConnectionBroken(Upstream, Completed.m_Request, Now);
 }
 
 void CrashExchange::onCompleted(const UpstreamLife &Upstream,
@@ -110,12 +110,14 @@
 /// request: without other requests nothing might show that the upstream has
 /// crashed.
 void CrashExchange::probeAfterRuns(TimePoint Now) {
-  for (Run &Each : m_Runs) {
-    if (Each.m_Probed || Now - Each.m_At < CrashGuard::BlameWindow / 2 ||
-        !m_Tracker.suspicious(Each.m_Request, Now))
+  for (Run &Completed : m_Runs) {
+    if (Completed.m_Probed ||
+        Now - Completed.m_At < CrashGuard::BlameWindow / 2 ||
+        !m_Tracker.suspicious(Completed.m_Request, Now))
       continue;
-    Each.m_Probed = true;
-    m_Detector.onConnectionBroken(Each.m_Upstream, Each.m_Request, Now);
+    Completed.m_Probed = true;
+    m_Detector.onConnectionBroken(Completed.m_Upstream, Completed.m_Request,
+                                  Now);
   }
 }
 
@@ -154,9 +156,9 @@
 void CrashExchange::reportEnd(const UpstreamLife &Upstream,
                               const std::vector<RequestDigest> &Running) {
   std::set<RequestDigest> All(Running.begin(), Running.end());
-  for (const Run &Each : m_Runs)
-    if (Each.m_Upstream == Upstream)
-      All.insert(Each.m_Request);
+  for (const Run &Completed : m_Runs)
+    if (Completed.m_Upstream == Upstream)
+      All.insert(Completed.m_Request);
   const CrashFrame Frame{.m_Server = Upstream,
                          .m_Running = {All.begin(), All.end()}};
   m_Log.write("server_ended", {{"upstream", Upstream.m_Id},
@@ -174,8 +176,8 @@
   const TimePoint Now = EventLoop::now();
   const CrashBook::Heard Result =
       m_Tracker.crashed(Frame.m_Server, Frame.m_Running, Now);
-  for (const RequestDigest &Each : Result.m_RanWell)
-    m_Fleet.sendAll(RanWellFrame{.m_Request = Each});
+  for (const RequestDigest &Request : Result.m_RanWell)
+    m_Fleet.sendAll(RanWellFrame{.m_Request = Request});
   if (!Result.m_New)
     return false;
   // Leaves are not told of crashes, but may know which of the requests
@@ -188,9 +190,9 @@
 
 void CrashExchange::sendSuspects(const std::vector<RequestDigest> &Among) {
   CrashSuspectsFrame Frame;
-  for (const RequestDigest &Each : Among)
-    if (m_Tracker.suspicious(Each, EventLoop::now()))
-      Frame.m_Requests.push_back(Each);
+  for (const RequestDigest &Request : Among)
+    if (m_Tracker.suspicious(Request, EventLoop::now()))
+      Frame.m_Requests.push_back(Request);
   if (!Frame.m_Requests.empty())
     m_Fleet.sendLeaves(Frame);
 }
@@ -204,41 +206,42 @@
 
 void CrashExchange::evaluate() {
   const TimePoint Now = EventLoop::now();
-  const std::vector<RequestDigest> Barred =
+  const std::vector<RequestDigest> Quarantined =
       m_Tracker.judge(m_Fleet.self(), Now);
   scheduleEvaluation();
-  for (const RequestDigest &Each : Barred)
-    logQuarantined(Each, "judged");
-  if (!Barred.empty())
-    m_Fleet.sendAll(RequestBarsFrame{.m_Bars = quarantineEntries(Barred)});
+  for (const RequestDigest &Request : Quarantined)
+    logQuarantined(Request, "judged");
+  if (!Quarantined.empty())
+    m_Fleet.sendAll(RequestBarsFrame{.m_Bars = quarantineEntries(Quarantined)});
   m_Hooks.m_Changed();
 }
 
 void CrashExchange::logQuarantined(const RequestDigest &Request,
                                    std::string_view How) {
   const TimePoint Now = EventLoop::now();
-  const RequestBar *Bar = m_Tracker.bar(Request, Now);
-  if (Bar == nullptr)
+  const RequestBar *Quarantine = m_Tracker.bar(Request, Now);
+  if (Quarantine == nullptr)
     return;
-  m_Log.write("request_barred", {{"digest", Request.str()},
-                                 {"servers", Bar->m_Servers},
-                                 {"by", Bar->m_By.str()},
-                                 {"how", How},
-                                 {"since_ms", (Now - Bar->m_Since) / 1ms},
-                                 {"for_ms", (Bar->m_Until - Now) / 1ms}});
+  m_Log.write("request_barred",
+              {{"digest", Request.str()},
+               {"servers", Quarantine->m_Servers},
+               {"by", Quarantine->m_By.str()},
+               {"how", How},
+               {"since_ms", (Now - Quarantine->m_Since) / 1ms},
+               {"for_ms", (Quarantine->m_Until - Now) / 1ms}});
 }
 
 std::vector<ToldBar> CrashExchange::quarantineEntries(
     const std::vector<RequestDigest> &Requests) const {
   const TimePoint Now = EventLoop::now();
   std::vector<ToldBar> Result;
-  for (const RequestDigest &Each : Requests)
-    if (const RequestBar *Bar = m_Tracker.bar(Each, Now))
-      Result.push_back({.m_Request = Each,
-                        .m_Servers = Bar->m_Servers,
-                        .m_By = Bar->m_By,
-                        .m_Age = Now - Bar->m_Since,
-                        .m_Left = Bar->m_Until - Now});
+  for (const RequestDigest &Request : Requests)
+    if (const RequestBar *Quarantine = m_Tracker.bar(Request, Now))
+      Result.push_back({.m_Request = Request,
+                        .m_Servers = Quarantine->m_Servers,
+                        .m_By = Quarantine->m_By,
+                        .m_Age = Now - Quarantine->m_Since,
+                        .m_Left = Quarantine->m_Until - Now});
   return Result;
 }
 
@@ -247,12 +250,12 @@
   const TimePoint Now = EventLoop::now();
   QuarantineStore::Changes Changes = m_Quarantine.entriesChanged(Items);
   m_Tracker.letThrough(std::move(Changes.m_Released));
-  for (auto &[Request, Bar] : Changes.m_Added) {
+  for (auto &[Request, Quarantine] : Changes.m_Added) {
     // The age of the quarantine is unknown: the boxes that knew it may all have
     // stopped.
-    Bar.m_Since = Now;
-    Bar.m_Until = TimePoint::max();
-    if (m_Tracker.adopt(Request, Bar, Now))
+    Quarantine.m_Since = Now;
+    Quarantine.m_Until = TimePoint::max();
+    if (m_Tracker.adopt(Request, Quarantine, Now))
       logQuarantined(Request, "stored");
   }
   m_Hooks.m_Changed();
@@ -260,13 +263,13 @@
 
 void CrashExchange::linkUp(const BoxName &Box) {
   std::vector<RequestDigest> All;
-  for (const auto &[Request, Bar] : m_Tracker.bars())
+  for (const auto &[Request, Quarantine] : m_Tracker.bars())
     All.push_back(Request);
-  std::vector<ToldBar> Bars = quarantineEntries(All);
-  for (std::size_t First = 0; First < Bars.size();
+  std::vector<ToldBar> Quarantines = quarantineEntries(All);
+  for (std::size_t First = 0; First < Quarantines.size();
        First += MaxEntriesPerFrame) {
-    const auto From = Bars.begin() + static_cast<std::ptrdiff_t>(First);
-    const auto Count = std::min(MaxEntriesPerFrame, Bars.size() - First);
+    const auto From = Quarantines.begin() + static_cast<std::ptrdiff_t>(First);
+    const auto Count = std::min(MaxEntriesPerFrame, Quarantines.size() - First);
     m_Fleet.send(
         Box, RequestBarsFrame{
                  .m_Bars = {From, From + static_cast<std::ptrdiff_t>(Count)}});
@@ -275,9 +278,9 @@
 
 void CrashExchange::onFrame(const BoxName &From, const PeerFrame &Frame) {
   std::visit(
-      [&](const auto &Each) {
-        if constexpr (requires { receive(From, Each); })
-          receive(From, Each);
+      [&](const auto &Content) {
+        if constexpr (requires { receive(From, Content); })
+          receive(From, Content);
       },
       Frame);
 }
@@ -294,9 +297,9 @@
 
 void CrashExchange::receive(const BoxName &, const CrashSuspectsFrame &Frame) {
   const TimePoint Now = EventLoop::now();
-  for (const RequestDigest &Each : Frame.m_Requests)
-    if (m_Tracker.suspected(Each, Now))
-      m_Fleet.sendAll(RanWellFrame{.m_Request = Each});
+  for (const RequestDigest &Request : Frame.m_Requests)
+    if (m_Tracker.suspected(Request, Now))
+      m_Fleet.sendAll(RanWellFrame{.m_Request = Request});
 }
 
 void CrashExchange::receive(const BoxName &From, const RanWellFrame &Frame) {
@@ -311,24 +314,24 @@
 void CrashExchange::receive(const BoxName &From,
                             const RequestBarsFrame &Frame) {
   const TimePoint Now = EventLoop::now();
-  RequestBarsFrame New;
-  for (const ToldBar &Each : Frame.m_Bars) {
+  RequestBarsFrame Adopted;
+  for (const ToldBar &Received : Frame.m_Bars) {
     // A box that was disconnected when the quarantine was lifted would
     // otherwise bring it back.
-    if (m_Tracker.pardoned(Each.m_Request))
-      m_Fleet.send(From, RanWellFrame{.m_Request = Each.m_Request});
-    const RequestBar Bar{.m_Servers = Each.m_Servers,
-                         .m_By = Each.m_By,
-                         .m_Since = Now - Each.m_Age,
-                         .m_Until = Now + Each.m_Left};
-    if (!m_Tracker.adopt(Each.m_Request, Bar, Now))
+    if (m_Tracker.pardoned(Received.m_Request))
+      m_Fleet.send(From, RanWellFrame{.m_Request = Received.m_Request});
+    const RequestBar Quarantine{.m_Servers = Received.m_Servers,
+                                .m_By = Received.m_By,
+                                .m_Since = Now - Received.m_Age,
+                                .m_Until = Now + Received.m_Left};
+    if (!m_Tracker.adopt(Received.m_Request, Quarantine, Now))
       continue;
-    logQuarantined(Each.m_Request, "told");
-    New.m_Bars.push_back(Each);
+    logQuarantined(Received.m_Request, "told");
+    Adopted.m_Bars.push_back(Received);
   }
-  if (New.m_Bars.empty())
+  if (Adopted.m_Bars.empty())
     return;
-  m_Fleet.passOn(New, From);
+  m_Fleet.passOn(Adopted, From);
   m_Hooks.m_Changed();
 }
 
--- a/packages/gateway/process/GatewayMetrics.cpp
+++ b/packages/gateway/process/GatewayMetrics.cpp
@@ -223,16 +223,16 @@
     m_Families->m_PeerBytes.Add({{"kind", std::string(Kind)}}).Set(Bytes);
   for (const auto &[Protocol, Boxes] : Gauges.m_Protocols)
     m_Families->m_KnownProtocols.insert(Protocol);
-  for (int Each : m_Families->m_KnownProtocols) {
-    const auto Found = Gauges.m_Protocols.find(Each);
-    m_Families->m_Protocols.Add({{"protocol", std::to_string(Each)}})
+  for (int Protocol : m_Families->m_KnownProtocols) {
+    const auto Found = Gauges.m_Protocols.find(Protocol);
+    m_Families->m_Protocols.Add({{"protocol", std::to_string(Protocol)}})
         .Set(Found == Gauges.m_Protocols.end() ? 0 : Found->second);
   }
   for (const auto &[DataCentre, Count] : Gauges.m_Cold)
     Families::label(m_Families->m_DataCentres, DataCentre.str());
-  for (const std::string &Each : m_Families->m_DataCentres) {
-    const auto Found = Gauges.m_Cold.find(DataCentreName(Each));
-    m_Families->m_Cold.Add({{"data_centre", Each}})
+  for (const std::string &DataCentre : m_Families->m_DataCentres) {
+    const auto Found = Gauges.m_Cold.find(DataCentreName(DataCentre));
+    m_Families->m_Cold.Add({{"data_centre", DataCentre}})
         .Set(Found == Gauges.m_Cold.end() ? 0 : Found->second);
   }
 }
--- a/packages/gateway/process/PermitExchange.cpp
+++ b/packages/gateway/process/PermitExchange.cpp
@@ -38,11 +38,12 @@
 
 std::optional<BoxName>
 PermitExchange::issuer(const InstanceId &Upstream) const {
-  std::set<BoxName> Reached = m_Fleet.linked();
-  Reached.insert(m_Fleet.self());
+  std::set<BoxName> ReachableBoxes = m_Fleet.linked();
+  ReachableBoxes.insert(m_Fleet.self());
   return admitterOf(
       Upstream, m_Fleet.topology().relaysOf(m_WarmUp.dataCentre(Upstream)),
-      Reached, m_Bounds.limited(Upstream) ? Quorum::Half : Quorum::Majority);
+      ReachableBoxes,
+      m_Bounds.limited(Upstream) ? Quorum::Half : Quorum::Majority);
 }
 
 /// \returns whether this box is the issuer for \p Upstream while all listed
@@ -60,8 +61,8 @@
 
 void PermitExchange::refreshRole() {
   const TimePoint Now = EventLoop::now();
-  std::erase_if(m_ForwardedQueries, [&](const auto &Each) {
-    return Now - Each.second.m_Since > RefreshInterval;
+  std::erase_if(m_ForwardedQueries, [&](const auto &Entry) {
+    return Now - Entry.second.m_Since > RefreshInterval;
   });
   m_Permits.admits(ownUpstreams(), Now);
 }
@@ -78,8 +79,8 @@
                                         .m_BoundSince = BoundSince});
   };
   if (m_WarmUp.active())
-    for (const InstanceId &Each : m_WarmUp.limited())
-      Add(Each, std::nullopt);
+    for (const InstanceId &Upstream : m_WarmUp.limited())
+      Add(Upstream, std::nullopt);
   for (const auto &[Upstream, Limit] : m_Signals.limits())
     Add(Upstream.m_Id, Limit.m_Since);
   return Result;
@@ -91,18 +92,18 @@
 BoxName PermitExchange::nextBox(const InstanceId &Upstream) const {
   if (m_Fleet.topology().relay())
     return issuer(Upstream).value_or(BoxName());
-  const std::set<BoxName> &Near =
+  const std::set<BoxName> &LocalRelays =
       m_Fleet.topology().relaysOf(m_WarmUp.dataCentre(Upstream));
-  BoxName Other;
-  for (const BoxName &Each : m_Fleet.topology().links()) {
-    if (!m_Fleet.linked().contains(Each))
+  BoxName Fallback;
+  for (const BoxName &Box : m_Fleet.topology().links()) {
+    if (!m_Fleet.linked().contains(Box))
       continue;
-    if (Near.contains(Each))
-      return Each;
-    if (Other.empty())
-      Other = Each;
+    if (LocalRelays.contains(Box))
+      return Box;
+    if (Fallback.empty())
+      Fallback = Box;
   }
-  return Other;
+  return Fallback;
 }
 
 PermitVerdict PermitExchange::decide(const BoxName &For,
@@ -160,10 +161,10 @@
   const auto Ends = Bound ? m_Bounds.endsAt(Pending.m_Upstream, Now) : Now;
   const bool InTime = Verdict && Now <= Lapses;
   const bool Granted = InTime && Verdict->m_Granted;
-  const Duration Away = InTime ? Verdict->m_After : RetryDelay;
-  PermitAnswer Answer{.m_Permit = std::nullopt,
-                      .m_RetryAt =
-                          std::min(Ends.value_or(Now + Away), Now + Away)};
+  const Duration RetryAfter = InTime ? Verdict->m_After : RetryDelay;
+  PermitAnswer Answer{
+      .m_Permit = std::nullopt,
+      .m_RetryAt = std::min(Ends.value_or(Now + RetryAfter), Now + RetryAfter)};
   if (Granted)
     Answer.m_Permit = {.m_From = Now + Verdict->m_After,
                        .m_Until = Lapses + Verdict->m_After};
@@ -179,7 +180,7 @@
       "permit",
       {{"upstream", Pending.m_Upstream},
        {"answer", What},
-       {"after_ms", (Granted ? Verdict->m_After : Away) / 1ms},
+       {"after_ms", (Granted ? Verdict->m_After : RetryAfter) / 1ms},
        {"asked_ms", (Now - Pending.m_Since) / 1ms},
        {"warm_in_ms", Ends ? Json((*Ends - Now) / 1ms) : Json()},
        {"limit_per_s", Limit != nullptr ? Json(Limit->m_PerS) : Json()},
@@ -204,9 +205,9 @@
 
 void PermitExchange::onFrame(const BoxName &From, const PeerFrame &Frame) {
   std::visit(
-      [&](const auto &Each) {
-        if constexpr (requires { receive(From, Each); })
-          receive(From, Each);
+      [&](const auto &Content) {
+        if constexpr (requires { receive(From, Content); })
+          receive(From, Content);
       },
       Frame);
 }
--- a/packages/gateway/process/QuarantineStore.cpp
+++ b/packages/gateway/process/QuarantineStore.cpp
@@ -58,19 +58,19 @@
   if (m_InFlight || !m_HasRead)
     return;
   std::vector<RequestDigest> Surplus;
-  for (const RequestDigest &Each : m_Stored)
-    if (!Wanted.contains(Each) && Surplus.size() < MaxKeysPerTransaction)
-      Surplus.push_back(Each);
+  for (const RequestDigest &Request : m_Stored)
+    if (!Wanted.contains(Request) && Surplus.size() < MaxKeysPerTransaction)
+      Surplus.push_back(Request);
   if (!Surplus.empty())
     return remove(Surplus);
   Entries Missing;
   Duration Longest = 0us;
-  for (const auto &[Request, Bar] : Wanted) {
-    if (m_Stored.contains(Request) || Bar.m_Until <= Now ||
+  for (const auto &[Request, Quarantine] : Wanted) {
+    if (m_Stored.contains(Request) || Quarantine.m_Until <= Now ||
         Missing.size() >= MaxKeysPerTransaction)
       continue;
-    Missing[Request] = Bar;
-    Longest = std::max(Longest, Bar.m_Until - Now);
+    Missing[Request] = Quarantine;
+    Longest = std::max(Longest, Quarantine.m_Until - Now);
   }
   if (Missing.empty())
     return;
@@ -88,8 +88,9 @@
 
 void QuarantineStore::put(LeaseId Lease, const Entries &Missing) {
   StoreTransaction Transaction;
-  for (const auto &[Request, Bar] : Missing) {
-    const Json Value{{"servers", Bar.m_Servers}, {"by", Bar.m_By.str()}};
+  for (const auto &[Request, Quarantine] : Missing) {
+    const Json Value{{"servers", Quarantine.m_Servers},
+                     {"by", Quarantine.m_By.str()}};
     Transaction.m_Puts.push_back({.m_Key = keyOf(Request),
                                   .m_Value = dumpJson(Value),
                                   .m_Lease = Lease});
@@ -101,9 +102,9 @@
 void QuarantineStore::remove(const std::vector<RequestDigest> &Surplus) {
   m_InFlight = true;
   StoreTransaction Transaction;
-  for (const RequestDigest &Each : Surplus) {
-    Transaction.m_Removals.push_back(keyOf(Each));
-    m_Stored.erase(Each);
+  for (const RequestDigest &Request : Surplus) {
+    Transaction.m_Removals.push_back(keyOf(Request));
+    m_Stored.erase(Request);
   }
   transact(Transaction);
 }
@@ -124,8 +125,8 @@
         // retries.
         const std::size_t Start =
             m_Prefix.size() + std::string(QuarantineKeys).size();
-        for (const StorePut &Each : Transaction.m_Puts)
-          m_Stored.erase(RequestDigest(Each.m_Key.substr(Start)));
+        for (const StorePut &Put : Transaction.m_Puts)
+          m_Stored.erase(RequestDigest(Put.m_Key.substr(Start)));
         for (const std::string &Key : Transaction.m_Removals)
           m_Stored.insert(RequestDigest(Key.substr(Start)));
       });
--- a/packages/gateway/process/QuotaExchange.cpp
+++ b/packages/gateway/process/QuotaExchange.cpp
@@ -184,14 +184,14 @@
 
 BoxName QuotaExchange::nextRelay(const std::set<BoxName> &Tried) const {
   const std::set<BoxName> &Linked = m_Fleet.linked();
-  const auto Fits = [&](const BoxName &Box) {
+  const auto IsUsable = [&](const BoxName &Box) {
     return Linked.contains(Box) && m_Fleet.topology().isRelay(Box) &&
            !Tried.contains(Box);
   };
-  if (Fits(m_Relay))
+  if (IsUsable(m_Relay))
     return m_Relay;
   const std::vector<BoxName> &Links = m_Fleet.topology().links();
-  const auto Found = std::find_if(Links.begin(), Links.end(), Fits);
+  const auto Found = std::find_if(Links.begin(), Links.end(), IsUsable);
   return Found == Links.end() ? BoxName() : *Found;
 }
 
@@ -241,9 +241,9 @@
 
 void QuotaExchange::onFrame(const BoxName &From, const PeerFrame &Frame) {
   std::visit(
-      [&](const auto &Each) {
-        if constexpr (requires { receive(From, Each); })
-          receive(From, Each);
+      [&](const auto &Content) {
+        if constexpr (requires { receive(From, Content); })
+          receive(From, Content);
       },
       Frame);
 }
--- a/packages/gateway/process/UpstreamSignalExchange.cpp
+++ b/packages/gateway/process/UpstreamSignalExchange.cpp
@@ -30,10 +30,10 @@
 void UpstreamSignalExchange::recordSignals(const UpstreamLife &Upstream,
                                            const AnswerFacts &Answer,
                                            TimePoint SentAt) {
-  const bool Other =
+  const bool FromOther =
       Answer.m_Misdirected ||
       (!Answer.m_Instance.empty() && Answer.m_Instance != Upstream.m_Id);
-  if (Other || m_View.past(Upstream))
+  if (FromOther || m_View.past(Upstream))
     return;
   recordLimit(Upstream, Answer, SentAt);
   if (Answer.m_Leaving)
@@ -131,8 +131,8 @@
 }
 
 void UpstreamSignalExchange::sendAltered() {
-  for (const UpstreamLife &Each : std::exchange(m_Altered, {}))
-    m_Fleet.sendAll(signalFrame(Each));
+  for (const UpstreamLife &Upstream : std::exchange(m_Altered, {}))
+    m_Fleet.sendAll(signalFrame(Upstream));
 }
 
 void UpstreamSignalExchange::linkUp(const BoxName &Box) {
@@ -141,8 +141,8 @@
     All.insert(Upstream);
   for (const auto &[Upstream, Said] : m_Signals.leaving())
     All.insert(Upstream);
-  for (const UpstreamLife &Each : All)
-    m_Fleet.send(Box, signalFrame(Each));
+  for (const UpstreamLife &Upstream : All)
+    m_Fleet.send(Box, signalFrame(Upstream));
 }
 
 void UpstreamSignalExchange::sendNoLimit(const BoxName &Box,
--- a/packages/gateway/request/CrashGuard.cpp
+++ b/packages/gateway/request/CrashGuard.cpp
@@ -29,8 +29,8 @@
     return;
   // Rendezvous hashing lets all boxes choose the same upstreams without
   // communication.
-  const auto Weight = [&](const UpstreamInstance *Each) {
-    return stableHash(Each->m_Id, m_Request.str());
+  const auto Weight = [&](const UpstreamInstance *Candidate) {
+    return stableHash(Candidate->m_Id, m_Request.str());
   };
   std::sort(
       Candidates.begin(), Candidates.end(),
--- a/packages/gateway/request/Forwarder.cpp
+++ b/packages/gateway/request/Forwarder.cpp
@@ -90,13 +90,13 @@
 }
 
 void Forwarder::refuseExpired() {
-  for (const StartupQueue::Item &Each :
+  for (const StartupQueue::Item &Item :
        m_StartupQueue.takeExpired(EventLoop::now()))
-    if (Each.m_Exchange->open())
-      refuseUnread(Each.m_Exchange,
+    if (Item.m_Exchange->open())
+      refuseUnread(Item.m_Exchange,
                    {.m_Kind = ErrorKind::NoConfiguration,
                     .m_RetryAfter = NotReadyRetryAfter},
-                   Each.m_Request.m_Id);
+                   Item.m_Request.m_Id);
 }
 
 void Forwarder::releaseStartupQueue() {
@@ -107,21 +107,22 @@
   std::vector<StartupQueue::Item> Kept = m_StartupQueue.takeAll();
   m_Log.write("early_requests",
               {{"requests", Kept.size()}, {"known", m_State.knowsAll()}});
-  for (StartupQueue::Item &Each : Kept) {
-    if (!Each.m_Exchange->open())
+  for (StartupQueue::Item &Item : Kept) {
+    if (!Item.m_Exchange->open())
       continue;
     if (m_State.knowsAll())
-      begin(std::move(Each));
+      begin(std::move(Item));
     else
-      keepOrRefuse(Each);
+      keepOrRefuse(Item);
   }
 }
 
 void Forwarder::begin(StartupQueue::Item Item) {
   const HttpExchangePtr &Exchange = Item.m_Exchange;
   RequestDescriptor &Request = Item.m_Request;
-  const Route *Found = m_State.m_Config->route(Request.m_Host, Request.m_Path);
-  if (Found == nullptr)
+  const Route *MatchedRoute =
+      m_State.m_Config->route(Request.m_Host, Request.m_Path);
+  if (MatchedRoute == nullptr)
     return refuseUnread(Exchange, {.m_Kind = ErrorKind::NotFound},
                         Request.m_Id);
   if (!m_State.m_Config->m_Organisations.empty() && !m_Hooks.m_MayTrustKeys())
@@ -130,11 +131,11 @@
                          .m_RetryAfter = NotReadyRetryAfter},
                         Request.m_Id);
   const CallerIdentity Caller =
-      identifyCaller(*m_State.m_Config, *Found, Request.m_Caller);
+      identifyCaller(*m_State.m_Config, *MatchedRoute, Request.m_Caller);
   if (Caller.m_Refusal)
     return refuseUnread(Exchange, {.m_Kind = *Caller.m_Refusal}, Request.m_Id);
   const auto Proxied = std::make_shared<ProxiedRequest>(
-      *this, Exchange, std::move(Request), m_State.m_Config, *Found,
+      *this, Exchange, std::move(Request), m_State.m_Config, *MatchedRoute,
       Caller.m_Organisation, Item.m_Arrived);
   m_Open.insert(Proxied);
   Proxied->begin();
@@ -143,15 +144,15 @@
 void Forwarder::upstreamsChanged() {
   const std::vector<std::shared_ptr<ProxiedRequest>> All(m_Open.begin(),
                                                          m_Open.end());
-  for (const auto &Each : All)
-    Each->upstreamsChanged();
+  for (const auto &Request : All)
+    Request->upstreamsChanged();
 }
 
 void Forwarder::crashesChanged() {
   const std::vector<std::shared_ptr<ProxiedRequest>> All(m_Open.begin(),
                                                          m_Open.end());
-  for (const auto &Each : All)
-    Each->crashesChanged();
+  for (const auto &Request : All)
+    Request->crashesChanged();
 }
 
 void Forwarder::remove(const std::shared_ptr<ProxiedRequest> &Ended) {
--- a/packages/gateway/request/ProxiedRequest.cpp
+++ b/packages/gateway/request/ProxiedRequest.cpp
@@ -325,8 +325,8 @@
 /// is recognised by its content, as each try has another id. \returns whether
 /// it did.
 bool ProxiedRequest::refuseIfQuarantined(TimePoint Now) {
-  const RequestBar *Bar = m_Crashes.quarantine(Now);
-  if (Bar == nullptr)
+  const RequestBar *Quarantine = m_Crashes.quarantine(Now);
+  if (Quarantine == nullptr)
     return false;
   if (m_BytesPassed)
     cut();
--- a/tests/gateway/PlatformTest.cpp
+++ b/tests/gateway/PlatformTest.cpp
@@ -11,7 +11,7 @@
 using Request = StandinRunner::Request;
 using ConnectionPtr = StandinRunner::ConnectionPtr;
 
-void answerWell(const Request &Of, const ConnectionPtr &To) {
+void answerWithSuccess(const Request &Of, const ConnectionPtr &To) {
   To->write(StandinRunner::answer(Of, 200, "body"));
 }
 
@@ -24,10 +24,10 @@
 
 } // namespace
 
-TEST_CASE("A box without a configuration is not ready and refuses",
+TEST_CASE("A box without a configuration is not ready and refuses requests",
           "[gateway][config]") {
   GatewayTest Test;
-  Test.addRunner("i-1", answerWell);
+  Test.addRunner("i-1", answerWithSuccess);
   Test.startGateway();
   REQUIRE(readiness(Test) == 503);
   REQUIRE(Test.fetch("/safe/x", "id-1").m_Status == 503);
@@ -38,10 +38,10 @@
   REQUIRE(Test.fetch("/none/x", "id-3").m_Status == 404);
 }
 
-TEST_CASE("A new configuration is taken, an older or bad one is not",
+TEST_CASE("A newer configuration is adopted, an older or malformed one is not",
           "[gateway][config]") {
   GatewayTest Test;
-  Test.addRunner("i-1", answerWell);
+  Test.addRunner("i-1", answerWithSuccess);
   Test.start();
   const auto Version = [&] {
     return Test.m_Gateway->state().m_Config->m_Version;
@@ -57,10 +57,10 @@
   REQUIRE(Test.fetch("/added/x", "id-2").m_Status == 404);
 }
 
-TEST_CASE("News that the store has forgotten is read anew",
+TEST_CASE("A change that is missing from the store's history is read again",
           "[gateway][config]") {
   GatewayTest Test;
-  Test.addRunner("i-1", answerWell);
+  Test.addRunner("i-1", answerWithSuccess);
   Test.start();
   Test.m_Store.setFault(StandinStore::Fault::Refuses);
   Test.m_Store.forgetHistory();
@@ -71,9 +71,10 @@
       [&] { return Test.m_Gateway->state().m_Config->m_Version == 5; }));
 }
 
-TEST_CASE("Requests are served while the store is away", "[gateway][store]") {
+TEST_CASE("Requests are served while the store is unavailable",
+          "[gateway][store]") {
   GatewayTest Test;
-  Test.addRunner("i-1", answerWell);
+  Test.addRunner("i-1", answerWithSuccess);
   Test.start();
   Test.m_Store.setFault(
       GENERATE(StandinStore::Fault::Refuses, StandinStore::Fault::Silent));
@@ -83,11 +84,11 @@
   REQUIRE(readiness(Test) == 200);
 }
 
-TEST_CASE("A draining runner gets nothing while another serves",
+TEST_CASE("A draining runner gets no requests while another one serves",
           "[gateway][drain]") {
   GatewayTest Test;
-  StandinRunner &Leaving = Test.addRunner("i-1", answerWell);
-  Test.addRunner("i-2", answerWell);
+  StandinRunner &Leaving = Test.addRunner("i-1", answerWithSuccess);
+  Test.addRunner("i-2", answerWithSuccess);
   Test.start();
   Test.list("i-1", "draining");
   REQUIRE(Test.until([&] {
@@ -99,14 +100,15 @@
   REQUIRE(Leaving.requests().empty());
 }
 
-TEST_CASE("A stop ends what runs, and refuses what comes too late",
-          "[gateway][stop]") {
+TEST_CASE(
+    "A stop completes running requests and refuses those that come too late",
+    "[gateway][stop]") {
   GatewayTest Test;
   ConnectionPtr Held;
   Request Waiting;
   Test.addRunner("i-1", [&](const Request &Of, const ConnectionPtr &To) {
     if (Of.header("x-attempt-id") != "id-slow")
-      return answerWell(Of, To);
+      return answerWithSuccess(Of, To);
     Waiting = Of;
     Held = To;
   });
@@ -130,7 +132,7 @@
   REQUIRE_FALSE(Test.m_Stopped);
   const std::string Large(6 << 20, 'x');
   Held->write(StandinRunner::answer(Waiting, 200, Large));
-  // The process ends with this: what was not written by then is lost.
+  // The process ends here: bytes that are not written by then are lost.
   REQUIRE(Test.until([&] { return Test.m_Stopped; }));
   Test.m_Gateway.reset();
   REQUIRE(Test.until([&] { return Done; }));
@@ -139,7 +141,7 @@
   REQUIRE_FALSE(Test.m_Store.has("havenstair/giver"));
 }
 
-TEST_CASE("The settings file is read in the platform's form",
+TEST_CASE("The settings file is read in the platform's format",
           "[platform][settings]") {
   Json File{{"nodeName", "n"},
             {"zone", "z"},
@@ -164,7 +166,7 @@
   REQUIRE_THROWS_AS(platform::parseNodeFile(dumpJson(File)), DecodeError);
 }
 
-TEST_CASE("Warm-up, births, regions and evacuations are read",
+TEST_CASE("Warm-up, start times, regions and evacuations are decoded",
           "[platform][regions][warm-up]") {
   const GatewayOptions Options = platform::parseNodeFile(
       R"({"nodeName":"n","zone":"a","ipAddress":"10.0.0.1",
@@ -207,19 +209,19 @@
   CHECK(Facts.m_ColdFor == 700ms);
 }
 
-TEST_CASE("A time to retry after comes with an answer that turns away",
+TEST_CASE("A time to retry after is read from an answer that rejects a request",
           "[platform]") {
   const RequestDialect Dialect = platform::makeBinding("").m_Dialect;
   const auto Read = [&](int Status, const std::string &Text) {
     return Dialect.m_ReadAnswer(Status, {{"retry-after", Text}});
   };
-  SECTION("in seconds, also in parts") {
+  SECTION("in seconds, also as a fraction") {
     CHECK(Read(503, "3").m_RetryAfter == 3s);
     CHECK(Read(429, "0.25").m_RetryAfter == 250ms);
     CHECK_FALSE(Read(503, "0").m_RetryAfter);
     CHECK_FALSE(Read(503, "0").m_BadRetryAfter);
   }
-  SECTION("or to a date, by the answer's own") {
+  SECTION("as a date, relative to the date of the answer") {
     const std::string Until = "Thu, 03 Dec 2026 12:00:05 GMT";
     const AnswerFacts Facts =
         Dialect.m_ReadAnswer(503, {{"Date", "Thu, 03 Dec 2026 12:00:00 GMT"},
@@ -227,7 +229,7 @@
     CHECK(Facts.m_RetryAfter == 5s);
     CHECK(Read(503, Until).m_BadRetryAfter);
   }
-  SECTION("not with another one, nor by what cannot be read") {
+  SECTION("not from other answers, nor if it cannot be parsed") {
     CHECK_FALSE(Read(200, "3").m_RetryAfter);
     const std::string Text =
         GENERATE("", "-1", "soon", "1,2", "1e9", "9999999");
@@ -240,7 +242,8 @@
   }
 }
 
-TEST_CASE("A server leaves that says so, in one way", "[platform]") {
+TEST_CASE("An upstream leaves only if the header has the one valid value",
+          "[platform]") {
   const RequestDialect Dialect = platform::makeBinding("").m_Dialect;
   CHECK(Dialect.m_ReadAnswer(503, {{"server-leaving", "1"}}).m_Leaving);
   const std::string Text = GENERATE("", "0", "no", "11");
@@ -248,37 +251,37 @@
   CHECK_FALSE(Dialect.m_ReadAnswer(200, {}).m_Leaving);
 }
 
-TEST_CASE("A limit is one decimal number, or it is none", "[platform]") {
+TEST_CASE("A limit is read only from a single decimal number", "[platform]") {
   const RequestDialect Dialect = platform::makeBinding("").m_Dialect;
   const auto Read = [&](const HttpHeaders &Headers) {
     return Dialect.m_ReadAnswer(200, Headers);
   };
-  SECTION("whole or in parts") {
+  SECTION("an integer or a fraction") {
     const auto [Text, Value] = GENERATE(table<std::string, double>(
         {{"0", 0}, {"0.5", 0.5}, {"1", 1}, {"2.50", 2.5}, {"1000", 1000}}));
     CHECK(Read({{"server-limit", Text}}).m_Limit == Value);
     CHECK_FALSE(Read({{"server-limit", Text}}).m_BadLimit);
   }
-  SECTION("not anything else") {
+  SECTION("no other text") {
     const std::string Text =
         GENERATE("", "-1", "-0", "x", "1,2", "1 a second", "nan", "inf", "1e3",
                  "0x10", "99999999999", "+1");
     CHECK_FALSE(Read({{"Server-Limit", Text}}).m_Limit);
     CHECK(Read({{"Server-Limit", Text}}).m_BadLimit);
   }
-  SECTION("not two") {
+  SECTION("no two values") {
     const AnswerFacts Facts =
         Read({{"Server-Limit", "1"}, {"Server-Limit", "1"}});
     CHECK_FALSE(Facts.m_Limit);
     CHECK(Facts.m_BadLimit);
   }
-  SECTION("or it is not there") {
+  SECTION("no header") {
     CHECK_FALSE(Read({}).m_Limit);
     CHECK_FALSE(Read({}).m_BadLimit);
   }
 }
 
-TEST_CASE("What cannot be a configuration or a server is an error",
+TEST_CASE("A malformed configuration or upstream entry is an error",
           "[platform]") {
   const std::string Text =
       GENERATE("", "null", "[]", "{}", R"({"version":-1})",
@@ -288,7 +291,8 @@
   REQUIRE_THROWS_AS(platform::decodeServer("servers/i", Text), DecodeError);
 }
 
-TEST_CASE("An entry without a usable address is no server", "[platform]") {
+TEST_CASE("An upstream entry without a usable address is an error",
+          "[platform]") {
   const std::string Address = GENERATE("", "nowhere", "nowhere:80", "127.0.0.1",
                                        "127.0.0.1:99999", "127.0.0.1:0");
   Json Entry{{"service", "s"},      {"address", "127.0.0.1:99"},
@@ -301,7 +305,8 @@
                     DecodeError);
 }
 
-TEST_CASE("A runner's report tells what is on its way", "[platform]") {
+TEST_CASE("A runner's report states its pending orders and loads",
+          "[platform]") {
   const ResidencyReport Report = platform::decodeReport(
       R"({"sequenceNumber":4,"utilization":true,
           "modelList":[{"name":"m","version":1,"adapterList":["a1"]}],
@@ -314,8 +319,9 @@
   REQUIRE(Report.m_OnDisk.contains("n"));
 }
 
-TEST_CASE("A leaving runner is learned though the watch of the list is dead",
-          "[gateway][platform]") {
+TEST_CASE(
+    "The removal of a runner is noticed although the watch of the list is dead",
+    "[gateway][platform]") {
   GatewayTest Test;
   Test.addRunner("i-1", [](const Request &, const ConnectionPtr &) {});
   Test.start();
--- a/tests/gateway/RequestDigestTest.cpp
+++ b/tests/gateway/RequestDigestTest.cpp
@@ -16,8 +16,9 @@
 
 } // namespace
 
-TEST_CASE("Equal content has one digest, and any other content another",
-          "[gateway][digest]") {
+TEST_CASE(
+    "Equal content has equal digests, and different content different ones",
+    "[gateway][digest]") {
   std::set<RequestDigest> Seen{digestOf(Content)};
   REQUIRE(digestOf(Content) == *Seen.begin());
   for (std::string_view RequestContent::*Part :
@@ -30,14 +31,14 @@
   }
 }
 
-TEST_CASE("Where one part ends and the next begins makes a difference",
+TEST_CASE("A digest depends on where one part ends and the next begins",
           "[gateway][digest]") {
   const RequestContent One{.m_Target = "/a", .m_Body = "bc"};
   const RequestContent Two{.m_Target = "/ab", .m_Body = "c"};
   REQUIRE(digestOf(One) != digestOf(Two));
 }
 
-TEST_CASE("A digest has one length, and holds nothing of the body",
+TEST_CASE("A digest has a fixed length and reveals nothing of the body",
           "[gateway][digest]") {
   const std::string Large(1 << 20, 'x');
   const RequestContent Whole{.m_Body = Large};
--- a/tests/gateway/RequestPermitTest.cpp
+++ b/tests/gateway/RequestPermitTest.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Keeps questions until the test answers them.
+/// Keeps queries until the test answers them.
 class DeferredPermitService : public PermitService {
 public:
   void ask(const InstanceId &, Duration, Done Callback) override {
@@ -21,7 +21,7 @@
   std::vector<InstanceId> m_ColdReports;
 };
 
-/// A request before two cold servers.
+/// A request that two cold upstreams can serve.
 class RequestPermitTest {
 public:
   RequestPermitTest() {
@@ -64,8 +64,9 @@
 
 } // namespace
 
-TEST_CASE("A cold server is sent to with a permit, for one send",
-          "[gateway][warmup]") {
+TEST_CASE(
+    "A send to a cold upstream needs a permit, which is good for one send",
+    "[gateway][warmup]") {
   RequestPermitTest Test;
   REQUIRE_FALSE(Test.ready("e"));
   REQUIRE_FALSE(Test.ready("e"));
@@ -80,7 +81,7 @@
   REQUIRE(Test.m_Service->m_Queries.size() == 2);
 }
 
-TEST_CASE("A permit for later is waited for, and one that lapsed is no use",
+TEST_CASE("A permit for later is awaited, and an expired one is not used",
           "[gateway][warmup]") {
   RequestPermitTest Test;
   REQUIRE_FALSE(Test.ready("e"));
@@ -89,13 +90,13 @@
     REQUIRE_FALSE(Test.ready("e"));
     REQUIRE(Test.m_Service->m_Queries.size() == 1);
   }
-  SECTION("lapsed") {
+  SECTION("expired") {
     Test.m_Service->m_Queries[0](RequestPermitTest::granted(-2s, 1s));
     REQUIRE_FALSE(Test.m_Permit.excludes("f", EventLoop::now()));
     REQUIRE_FALSE(Test.ready("e"));
     REQUIRE(Test.m_Service->m_Queries.size() == 2);
   }
-  SECTION("its server is gone") {
+  SECTION("its upstream is gone") {
     Test.m_Service->m_Queries[0](RequestPermitTest::granted(0us, 60s));
     REQUIRE(Test.m_Permit.drop());
     REQUIRE_FALSE(Test.m_Permit.drop());
@@ -108,7 +109,7 @@
   RequestPermitTest Test;
   REQUIRE_FALSE(Test.ready("e"));
   Test.m_Service->m_Queries[0](RequestPermitTest::granted(50ms, 60s));
-  // As by a timer that ends some ms before its time, or by other news.
+  // A timer may expire some milliseconds early, and other events resume it too.
   REQUIRE_FALSE(Test.m_Permit.ready("e", 1s, EventLoop::now() - 10ms));
   REQUIRE(Test.resumed(1));
   while (!Test.ready("e"))
@@ -116,8 +117,9 @@
   REQUIRE(Test.m_Service->m_Queries.size() == 1);
 }
 
-TEST_CASE("A server that refuses is left out until a permit is to be had",
-          "[gateway][warmup]") {
+TEST_CASE(
+    "An upstream is excluded after a refusal until a permit may be available",
+    "[gateway][warmup]") {
   RequestPermitTest Test;
   REQUIRE_FALSE(Test.m_Permit.deferral(EventLoop::now()));
   REQUIRE_FALSE(Test.ready("e"));
@@ -133,8 +135,9 @@
   REQUIRE_FALSE(Test.m_Permit.deferral(RetryAt));
 }
 
-TEST_CASE("A request that goes elsewhere does not wait for the answer",
-          "[gateway][warmup]") {
+TEST_CASE(
+    "A request that chooses another upstream does not wait for the permit",
+    "[gateway][warmup]") {
   RequestPermitTest Test;
   REQUIRE_FALSE(Test.ready("e"));
   REQUIRE(Test.ready("warm"));
@@ -142,7 +145,7 @@
   REQUIRE_FALSE(Test.m_Permit.hasValidPermit(EventLoop::now()));
 }
 
-TEST_CASE("A request that outlives the desk finds cold servers refused",
+TEST_CASE("A request that outlives the service is refused permits",
           "[gateway][warmup]") {
   RequestPermitTest Test;
   const auto Late = [&] {
@@ -156,7 +159,7 @@
   REQUIRE_FALSE(Test.m_Permit.hasValidPermit(EventLoop::now()));
 }
 
-TEST_CASE("What an answer says of warm-up counts for who gave it",
+TEST_CASE("The warm-up state in an answer counts for the instance that gave it",
           "[gateway][warmup]") {
   RequestPermitTest Test;
   const TimePoint Now = EventLoop::now();
--- a/tests/gateway/RequestQuotaTest.cpp
+++ b/tests/gateway/RequestQuotaTest.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Keeps questions until the test answers them.
+/// Keeps queries until the test answers them.
 class DeferredQuotaService : public QuotaService {
 public:
   void acquire(const std::string &, const QuotaRequest &,
@@ -26,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("What is granted and not sent is given back, once",
+TEST_CASE("Units that were granted and not used are given back once",
           "[gateway][quota]") {
   const auto Service = std::make_shared<DeferredQuotaService>();
   const auto Grant = [&](RequestQuota &Quota) {
@@ -69,14 +69,16 @@
   REQUIRE(Service->m_GivenBack == 700);
 }
 
-TEST_CASE("A request that outlives the desk asks nobody", "[gateway][quota]") {
+TEST_CASE("A request that outlives the service gets no verdict",
+          "[gateway][quota]") {
   auto Service = std::make_shared<DeferredQuotaService>();
   RequestQuota Quota(Service, "o", 700);
   Quota.ask(0us, [](const auto &) {});
   Service->m_Queries.at(0)(Granted);
   Service.reset();
   Quota.giveBack();
-  bool Told = true;
-  Quota.ask(0us, [&](const auto &Verdict) { Told = Verdict.has_value(); });
-  REQUIRE_FALSE(Told);
+  bool HasVerdict = true;
+  Quota.ask(0us,
+            [&](const auto &Verdict) { HasVerdict = Verdict.has_value(); });
+  REQUIRE_FALSE(HasVerdict);
 }
--- a/tests/gateway/RestartTest.cpp
+++ b/tests/gateway/RestartTest.cpp
@@ -7,8 +7,8 @@
 using Request = StandinRunner::Request;
 using ConnectionPtr = StandinRunner::ConnectionPtr;
 
-/// A runner that ends and starts again under its name, at its address. Its
-/// former start is silent from then on, or resets what it was asked.
+/// A runner that stops and restarts under its name, at its address. Requests to
+/// its former incarnation get no answer from then on, or a reset.
 class RestartTest : public GatewayTest {
 public:
   RestartTest() {
@@ -17,69 +17,73 @@
     });
     listBorn("i-1", 100);
     start();
-    REQUIRE(until([&] { return bornAt() == 100; }));
+    REQUIRE(until([&] { return listedStartTime() == 100; }));
   }
 
-  UpstreamBirth bornAt() const {
+  UpstreamBirth listedStartTime() const {
     const auto *Found = m_Gateway->state().m_Upstreams.find("i-1");
     return Found == nullptr ? 0 : Found->m_Born;
   }
 
-  /// What it had taken it drops without an answer.
-  void end() {
-    for (const ConnectionPtr &Each : m_Held)
-      if (Each->open())
-        Each->reset();
-    m_Held.clear();
+  /// Resets the connections of all requests that have no answer yet.
+  void stopRunner() {
+    for (const ConnectionPtr &Connection : m_Unanswered)
+      if (Connection->open())
+        Connection->reset();
+    m_Unanswered.clear();
   }
 
-  void comeBack() {
-    m_Holds = false;
-    ++m_Start;
-    listBorn("i-1", 100 + m_Start);
-    REQUIRE(until([&] { return bornAt() == 100 + m_Start; }));
+  void restart() {
+    m_WithholdAnswers = false;
+    ++m_StartCount;
+    listBorn("i-1", 100 + m_StartCount);
+    REQUIRE(until([&] { return listedStartTime() == 100 + m_StartCount; }));
   }
 
-  bool m_Holds = false; ///< Requests get no answer.
+  bool m_WithholdAnswers = false; ///< Requests get no answer.
 
 private:
   void serve(const Request &Of, const ConnectionPtr &On) {
-    // A connection belongs to the start that first got a request on it.
-    if (m_StartOf.try_emplace(On.get(), m_Start).first->second != m_Start)
+    // A connection belongs to the incarnation that first got a request on it.
+    if (m_StartByConnection.try_emplace(On.get(), m_StartCount).first->second !=
+        m_StartCount)
       return;
-    m_Kept.push_back(On);
-    if (m_Holds)
-      m_Held.push_back(On);
+    m_Connections.push_back(On);
+    if (m_WithholdAnswers)
+      m_Unanswered.push_back(On);
     else
-      On->write(StandinRunner::answer(Of, 200, std::to_string(m_Start)));
+      On->write(StandinRunner::answer(Of, 200, std::to_string(m_StartCount)));
   }
 
-  int m_Start = 0;
-  std::map<StandinRunner::Connection *, int> m_StartOf;
-  std::vector<ConnectionPtr> m_Kept; ///< Keeps addresses apart.
-  std::vector<ConnectionPtr> m_Held;
+  int m_StartCount = 0;
+  std::map<StandinRunner::Connection *, int> m_StartByConnection;
+  /// Keeps the addresses of connections from being reused.
+  std::vector<ConnectionPtr> m_Connections;
+  std::vector<ConnectionPtr> m_Unanswered;
 };
 
 } // namespace
 
-TEST_CASE("Nothing is sent on a connection that was kept to a former start",
-          "[gateway][lives]") {
+TEST_CASE(
+    "Nothing is sent on a connection that was kept to a former incarnation",
+    "[gateway][lives]") {
   RestartTest Test;
   REQUIRE(Test.fetch("/safe/x", "id-1").m_Body == "0");
   REQUIRE(Test.fetch("/safe/x", "id-2").m_Body == "0");
   REQUIRE(Test.m_Runners.at("i-1")->accepted() == 1);
-  Test.end();
-  Test.comeBack();
+  Test.stopRunner();
+  Test.restart();
   const HttpAnswer Answer = Test.fetch("/safe/x", "id-3");
   REQUIRE(Answer.m_Status == 200);
   REQUIRE(Answer.m_Body == "1");
   REQUIRE(Test.arrivals("id-3") == 1);
 }
 
-TEST_CASE("What a restart cut off runs at most once", "[gateway][lives]"
-                                                      "[unsafe]") {
+TEST_CASE("A request that a restart interrupts runs at most once",
+          "[gateway][lives]"
+          "[unsafe]") {
   RestartTest Test;
-  Test.m_Holds = true;
+  Test.m_WithholdAnswers = true;
   HttpAnswer Cut;
   bool Done = false;
   Test.m_Http.fetch(Test.call("/unsafe/x", "id-1", "b"),
@@ -88,13 +92,13 @@
                       Done = true;
                     });
   REQUIRE(Test.until([&] { return Test.arrivals("id-1") == 1; }));
-  const bool BehindCut = GENERATE(false, true);
-  // Behind a cut nobody hears that the former start has ended.
-  if (!BehindCut)
-    Test.end();
-  Test.comeBack();
-  if (BehindCut)
-    Test.end();
+  const bool AfterPartition = GENERATE(false, true);
+  // During a partition nobody notices that the former incarnation has ended.
+  if (!AfterPartition)
+    Test.stopRunner();
+  Test.restart();
+  if (AfterPartition)
+    Test.stopRunner();
   REQUIRE(Test.until([&] { return Done; }));
   REQUIRE(Cut.m_Status == 502);
   REQUIRE(Test.fetch("/unsafe/x", "id-2").m_Status == 200);
@@ -102,25 +106,26 @@
   REQUIRE(Test.arrivals("id-2") == 1);
 }
 
-TEST_CASE("What was refused while a server was away never runs",
+TEST_CASE("A request that was refused while its upstream was down never runs",
           "[gateway][lives][unsafe]") {
   RestartTest Test;
-  Test.end();
+  Test.stopRunner();
   Test.m_Store.remove("servers/i-1");
   REQUIRE(Test.until(
       [&] { return Test.m_Gateway->state().m_Upstreams.current().empty(); }));
   Test.wait(ServingView::Options{}.m_LastResort + 10ms);
   const HttpAnswer Refused = Test.fetch("/unsafe/x", "id-1");
   REQUIRE(Refused.m_Status == 503);
-  Test.comeBack();
+  Test.restart();
   REQUIRE(Test.fetch("/unsafe/x", "id-2").m_Status == 200);
   REQUIRE(Test.arrivals("id-1") == 0);
 }
 
-TEST_CASE("Failures and loads of a former start do not weigh on the new one",
-          "[gateway][lives]") {
+TEST_CASE(
+    "Failures and loads of a former incarnation do not count for the new one",
+    "[gateway][lives]") {
   RestartTest Test;
-  Test.m_Holds = true;
+  Test.m_WithholdAnswers = true;
   const HttpCallHandle Call = Test.m_Http.start([&] {
     HttpCall Result = Test.call("/unsafe/x", "id-1", "b");
     Result.m_OnHead = [](int, const HttpHeaders &) {};
@@ -134,17 +139,17 @@
     return State.m_Loads.load("i-1", EventLoop::now()).m_Running;
   };
   REQUIRE(Running() == 1);
-  const bool BehindCut = GENERATE(false, true);
-  if (!BehindCut) {
-    Test.end();
+  const bool AfterPartition = GENERATE(false, true);
+  if (!AfterPartition) {
+    Test.stopRunner();
     REQUIRE(Test.until([&] { return Running() == 0; }));
     REQUIRE(State.m_Failures.rate("i-1", EventLoop::now()) > 0);
   }
-  Test.comeBack();
+  Test.restart();
   REQUIRE(Running() == 0);
   REQUIRE(State.m_Failures.rate("i-1", EventLoop::now()) == 0);
-  if (BehindCut) {
-    Test.end();
+  if (AfterPartition) {
+    Test.stopRunner();
     REQUIRE(Test.until([&] { return Test.m_Gateway->openRequests() == 0; }));
     REQUIRE(State.m_Failures.rate("i-1", EventLoop::now()) == 0);
   }
--- a/tests/gateway/ServerLeavingTest.cpp
+++ b/tests/gateway/ServerLeavingTest.cpp
@@ -6,29 +6,28 @@
 
 const std::string LeavingHeader = "Server-Leaving: 1\r\n";
 
-/// For so long a server that leaves may still be a last resort.
+/// Time for which an upstream that leaves may still be used as a last resort.
 constexpr Duration LastResortTime = 600ms;
 
 } // namespace
 
-TEST_CASE(
-    "A server that says in an answer that it leaves gets no more from any "
-    "box, whatever the list says",
-    "[gateway][server-leaving]") {
+TEST_CASE("An upstream that reports in an answer that it leaves gets no more "
+          "requests from any box, whatever the list says",
+          "[gateway][server-leaving]") {
   const auto Boxes = GENERATE(std::size_t{1}, std::size_t{3}, std::size_t{20});
   UpstreamSignalsFleet Test(Boxes);
   Test.addRunnerSending("leaving", LeavingHeader);
-  Test.begin();
+  Test.untilAllReady();
   REQUIRE(Test.sendOne().m_Served == 1);
   Test.wait(LastResortTime);
   const std::size_t Before = Test.m_Arrived["leaving"].size();
   const bool Others = GENERATE(true, false);
   if (Others) {
     Test.addRunnerSending("whole");
-    Test.begin();
+    Test.untilAllReady();
   }
   const FleetOutcome First = Test.sendFor(1s);
-  // Its heartbeat goes on to say that it is ready.
+  // Its heartbeat still reports that it is ready.
   Json Entry = Test.entry("leaving", "ready");
   Entry["slots"] = 9;
   Test.m_Store.put("servers/leaving", dumpJson(Entry));
@@ -39,12 +38,12 @@
   REQUIRE((Others ? Second.m_Served : Second.m_RetryLater) == Second.all());
 }
 
-TEST_CASE("A box that joins hears which servers leave from those that know",
+TEST_CASE("A box that joins learns from its peers which upstreams leave",
           "[gateway][server-leaving]") {
   const auto Boxes = GENERATE(std::size_t{3}, std::size_t{20});
   UpstreamSignalsFleet Test(Boxes);
   Test.addRunnerSending("leaving", LeavingHeader);
-  Test.begin();
+  Test.untilAllReady();
   REQUIRE(Test.sendOne().m_Served == 1);
   const auto AllKnow = [&] {
     return std::all_of(
@@ -57,7 +56,7 @@
   REQUIRE(Test.until(AllKnow));
   Test.addBox();
   REQUIRE(Test.until(AllKnow));
-  SECTION("and a later life of the server is used again") {
+  SECTION("and a later incarnation of the upstream is used again") {
     Test.m_SignalHeaders["leaving"] = "";
     Test.listBorn("leaving", 7);
     REQUIRE(Test.sendOne().m_Served == 1);
@@ -65,7 +64,7 @@
 }
 
 TEST_CASE(
-    "A stream that runs at a server when it says that it leaves ends well",
+    "A stream that runs when its upstream reports that it leaves completes",
     "[gateway][server-leaving]") {
   UpstreamSignalsFleet Test(1);
   Test.addRunnerSending("leaving");
@@ -80,7 +79,7 @@
           To->write(StandinRunner::answer(Of, 200, "body", LeavingHeader));
         }
       });
-  Test.begin();
+  Test.untilAllReady();
   std::optional<HttpAnswer> Whole;
   Test.m_Http.fetch(
       GatewayTest::callTo(*Test.m_Boxes.front(), "/stream/x", "streamed"),
--- a/tests/gateway/ServerLimitTest.cpp
+++ b/tests/gateway/ServerLimitTest.cpp
@@ -10,7 +10,7 @@
 
 } // namespace
 
-TEST_CASE("All boxes together keep the limit that a server names",
+TEST_CASE("All boxes together keep the rate limit that an upstream sets",
           "[gateway][server-limit]") {
   const auto Boxes = GENERATE(std::size_t{1}, std::size_t{3}, std::size_t{20});
   UpstreamSignalsFleet Test(Boxes);
@@ -18,7 +18,7 @@
   const bool Others = GENERATE(true, false);
   if (Others)
     Test.addRunnerSending("whole");
-  Test.begin();
+  Test.untilAllReady();
   const FleetOutcome All = Test.sendFor(8s);
   CAPTURE(Boxes, Others, All.m_Served, All.m_RetryLater, All.m_Other);
   REQUIRE(Test.maxArrivalsInSpan("limited") <=
@@ -26,40 +26,40 @@
   REQUIRE(All.m_Other == 0);
 }
 
-TEST_CASE("All boxes hear of a limit, and of its end, from the one that was "
-          "told",
+TEST_CASE("All boxes learn of a limit, and of its end, from the box that "
+          "received it",
           "[gateway][server-limit]") {
   const auto Boxes = GENERATE(std::size_t{3}, std::size_t{20});
   UpstreamSignalsFleet Test(Boxes);
   Test.addRunnerSending("limited", limit("2.5"));
-  Test.begin();
+  Test.untilAllReady();
   REQUIRE(Test.sendOne().m_Served == 1);
   REQUIRE(Test.until([&] { return Test.allKnowLimit("limited", 2.5); }));
-  SECTION("of another value") {
+  SECTION("another value") {
     Test.m_SignalHeaders["limited"] = limit("0.5");
     REQUIRE(Test.sendOne().m_Served == 1);
     REQUIRE(Test.until([&] { return Test.allKnowLimit("limited", 0.5); }));
   }
-  SECTION("of its end") {
+  SECTION("the end of the limit") {
     Test.m_SignalHeaders["limited"] = "";
     REQUIRE(Test.sendOne().m_Served == 1);
     REQUIRE(Test.until([&] { return Test.noneKnowsLimit("limited"); }));
   }
-  SECTION("a value that cannot be read changes nothing") {
+  SECTION("a value that cannot be parsed changes nothing") {
     Test.m_SignalHeaders["limited"] = limit("many");
     REQUIRE(Test.sendOne().m_Served == 1);
     REQUIRE(Test.allKnowLimit("limited", 2.5));
   }
-  SECTION("a box that joins hears of it from those that know") {
+  SECTION("a box that joins learns of it from its peers") {
     Test.addBox();
     REQUIRE(Test.until([&] { return Test.allKnowLimit("limited", 2.5); }));
   }
 }
 
-TEST_CASE("A limit of nothing comes to its end", "[gateway][server-limit]") {
+TEST_CASE("A limit of zero requests can end", "[gateway][server-limit]") {
   UpstreamSignalsFleet Test(3);
   Test.addRunnerSending("limited", limit("0"));
-  Test.begin();
+  Test.untilAllReady();
   REQUIRE(Test.sendOne().m_Served == 1);
   REQUIRE(Test.until([&] { return Test.allKnowLimit("limited", 0); }));
   Test.m_SignalHeaders["limited"] = "";
@@ -68,11 +68,12 @@
   REQUIRE(Test.sendFor(1s).m_Served == 20);
 }
 
-TEST_CASE("What a limited server does not take is refused at once, with a time",
-          "[gateway][server-limit]") {
+TEST_CASE(
+    "Requests beyond a limit are refused at once, with a time to retry after",
+    "[gateway][server-limit]") {
   UpstreamSignalsFleet Test(3);
   Test.addRunnerSending("limited", limit("1"));
-  Test.begin();
+  Test.untilAllReady();
   REQUIRE(Test.sendOne().m_Served == 1);
   REQUIRE(Test.until([&] { return Test.allKnowLimit("limited", 1); }));
   const FleetOutcome All = Test.sendFor(3s);
--- a/tests/gateway/ServerRetryAfterTest.cpp
+++ b/tests/gateway/ServerRetryAfterTest.cpp
@@ -11,19 +11,19 @@
 } // namespace
 
 TEST_CASE(
-    "A server that turns a box away gets nothing from it for the time that "
-    "it asks for",
+    "An upstream that rejects a box gets no requests from it for the time "
+    "that it states",
     "[gateway][server-retry-after]") {
   const auto Boxes = GENERATE(std::size_t{1}, std::size_t{3});
   const bool Others = GENERATE(true, false);
   UpstreamSignalsFleet Test(Boxes);
   Test.addRunnerSending("busy", retryAfter("30"));
   Test.m_Status["busy"] = 503;
-  Test.begin();
+  Test.untilAllReady();
   const FleetOutcome First = Test.sendFor(1s);
   if (Others) {
     Test.addRunnerSending("whole");
-    Test.begin();
+    Test.untilAllReady();
   }
   const FleetOutcome Second = Test.sendFor(1s);
   CAPTURE(Boxes, Others, First.m_RetryLater, Second.m_Served,
@@ -33,12 +33,12 @@
   REQUIRE((Others ? Second.m_Served : Second.m_RetryLater) == Second.all());
 }
 
-TEST_CASE("A server is sent to again after the time that it named",
+TEST_CASE("An upstream is used again after the time that it stated",
           "[gateway][server-retry-after]") {
   UpstreamSignalsFleet Test(1);
   Test.addRunnerSending("busy", retryAfter("0.5"));
   Test.m_Status["busy"] = 503;
-  Test.begin();
+  Test.untilAllReady();
   const FleetOutcome First = Test.sendFor(200ms);
   REQUIRE(First.m_RetryLater == First.all());
   Test.m_Status["busy"] = 200;
@@ -46,13 +46,12 @@
   REQUIRE(Test.sendOne().m_Served == 1);
 }
 
-TEST_CASE(
-    "An answer to another request does not end the time that a server named",
-    "[gateway][server-retry-after]") {
+TEST_CASE("An answer to another request does not end the time to retry after",
+          "[gateway][server-retry-after]") {
   UpstreamSignalsFleet Test(1);
   Test.addRunnerSending("busy");
-  Test.begin();
-  // The first is answered late, after the second was turned away.
+  Test.untilAllReady();
+  // The first request is answered after the second one was rejected.
   std::vector<std::pair<StandinRunner::Request, StandinRunner::ConnectionPtr>>
       Held;
   Test.m_Runners["busy"]->setBehaviour(
--- a/tests/gateway/SuspensionTest.cpp
+++ b/tests/gateway/SuspensionTest.cpp
@@ -1,5 +1,5 @@
-// A machine may be suspended for seconds. The steady clock does not count that
-// time, while callers, servers and the other boxes go on.
+// Guards against a machine that is suspended for seconds. The steady clock does
+// not count that time, while callers, upstreams and the other boxes go on.
 #include "gateway/GatewayTest.h"
 #include "wire/common/Clock.h"
 
@@ -10,39 +10,40 @@
 using Request = StandinRunner::Request;
 using ConnectionPtr = StandinRunner::ConnectionPtr;
 
-constexpr Duration Suspended = 20s;
+constexpr Duration SuspendedFor = 20s;
 
 } // namespace
 
-TEST_CASE("A timer runs at its time though the machine was suspended",
+TEST_CASE("A timer fires in time although the machine was suspended",
           "[gateway][suspension]") {
   EventLoop Loop;
-  bool Rang = false;
-  bool Early = false;
-  const Timer Due = Loop.after(Suspended, [&] { Rang = true; });
-  const Timer NotDue = Loop.after(2 * Suspended, [&] { Early = true; });
+  bool Fired = false;
+  bool FiredEarly = false;
+  const Timer Due = Loop.after(SuspendedFor, [&] { Fired = true; });
+  const Timer NotDue = Loop.after(2 * SuspendedFor, [&] { FiredEarly = true; });
   const TimePoint Before = EventLoop::now();
-  Clock::skip(Suspended);
-  REQUIRE(EventLoop::now() - Before >= Suspended);
-  REQUIRE(Loop.runUntil([&] { return Rang; }, 5s));
-  REQUIRE_FALSE(Early);
+  Clock::skip(SuspendedFor);
+  REQUIRE(EventLoop::now() - Before >= SuspendedFor);
+  REQUIRE(Loop.runUntil([&] { return Fired; }, 5s));
+  REQUIRE_FALSE(FiredEarly);
 }
 
-TEST_CASE("A timer that rang already does not ring again after a suspension",
+TEST_CASE("A timer that has fired does not fire again after a suspension",
           "[gateway][suspension]") {
   EventLoop Loop;
-  int Rang = 0;
-  const Timer Due = Loop.after(1ms, [&] { ++Rang; });
-  REQUIRE(Loop.runUntil([&] { return Rang == 1; }, 5s));
-  Clock::skip(Suspended);
+  int Fired = 0;
+  const Timer Due = Loop.after(1ms, [&] { ++Fired; });
+  REQUIRE(Loop.runUntil([&] { return Fired == 1; }, 5s));
+  Clock::skip(SuspendedFor);
   bool Over = false;
   const Timer Later = Loop.after(300ms, [&] { Over = true; });
   REQUIRE(Loop.runUntil([&] { return Over; }, 5s));
-  REQUIRE(Rang == 1);
+  REQUIRE(Fired == 1);
 }
 
-TEST_CASE("A request whose deadline passed in a suspension is answered at once",
-          "[gateway][suspension]") {
+TEST_CASE(
+    "A request whose deadline passed during a suspension is answered at once",
+    "[gateway][suspension]") {
   GatewayTest Test;
   std::size_t Arrived = 0;
   Test.addRunner("i-1",
@@ -53,19 +54,19 @@
       Test.call("/unsafe/x", "id-1"),
       [&](const HttpAnswer &Answer) { Status = Answer.m_Status; });
   REQUIRE(Test.until([&] { return Arrived == 1; }));
-  Clock::skip(Suspended);
+  Clock::skip(SuspendedFor);
   REQUIRE(Test.m_Loop.runUntil([&] { return Status != 0; }, 3s));
   REQUIRE(Status == 504);
 }
 
-TEST_CASE("After a suspension no order is given by the lease from before",
+TEST_CASE("After a suspension no order is given under the former lease",
           "[gateway][suspension]") {
   GatewayTest Test;
   Test.addRunner("i-1", [](const Request &, const ConnectionPtr &) {});
   Test.start();
   REQUIRE(Test.until([&] { return Test.m_Gateway->givesOrders(); }));
-  Clock::skip(Suspended);
+  Clock::skip(SuspendedFor);
   REQUIRE(Test.until([&] { return !Test.m_Gateway->givesOrders(); }));
-  // It is taken anew.
+  // The lease is acquired again.
   REQUIRE(Test.until([&] { return Test.m_Gateway->givesOrders(); }));
 }
--- a/tests/gateway/UpstreamSignalsFleet.h
+++ b/tests/gateway/UpstreamSignalsFleet.h
@@ -1,5 +1,5 @@
 /// \file
-/// A fleet before runners that say something of themselves in their answers.
+/// A fleet with runners that report signals in their answers.
 #ifndef HAVENSTAIR_TESTS_GATEWAY_UPSTREAMSIGNALSFLEET_H
 #define HAVENSTAIR_TESTS_GATEWAY_UPSTREAMSIGNALSFLEET_H
 
@@ -10,20 +10,20 @@
 
 namespace havenstair {
 
-/// What became of requests.
+/// Counts how requests ended.
 struct FleetOutcome {
   int m_Served = 0;
-  int m_RetryLater = 0; ///< Refused, with when to come back.
+  int m_RetryLater = 0; ///< Refused with a time to retry after.
   int m_Other = 0;
 
   int all() const { return m_Served + m_RetryLater + m_Other; }
 };
 
-/// A fleet before runners that say something of themselves in their answers.
+/// A fleet with runners that report signals in their answers.
 class UpstreamSignalsFleet : public GatewayTest {
 public:
-  /// From the first word on; all boxes have heard of it by then.
-  static constexpr Duration Grace = 3s;
+  /// Time after the first signal by which all boxes have received it.
+  static constexpr Duration SettlingTime = 3s;
   static constexpr Duration Span = 4s;
   static constexpr Duration BetweenRequests = 50ms;
 
@@ -53,7 +53,7 @@
     });
   }
 
-  /// One request, again until it is served.
+  /// Sends requests one by one until one is served.
   FleetOutcome sendOne() {
     FleetOutcome Result;
     while (Result.m_Served == 0)
@@ -61,7 +61,7 @@
     return Result;
   }
 
-  /// Adds a runner that answers well, with the header fields \p Words.
+  /// Adds a runner that answers with success and the header fields \p Headers.
   void addRunnerSending(const std::string &Id,
                         const std::string &Headers = "") {
     m_SignalHeaders[Id] = Headers;
@@ -75,7 +75,7 @@
     m_Status[Id] = 200;
   }
 
-  void begin() {
+  void untilAllReady() {
     REQUIRE(until([&] {
       return std::all_of(m_Boxes.begin(), m_Boxes.end(), [&](const auto &Box) {
         return Box->state().ready() &&
@@ -84,7 +84,8 @@
     }));
   }
 
-  /// Requests come through all boxes in turn for \p For; all get an answer.
+  /// Sends requests through all boxes in turn for \p For, and waits for all
+  /// answers.
   FleetOutcome sendFor(Duration For) {
     FleetOutcome Result;
     int Done = 0;
@@ -107,24 +108,24 @@
           });
     };
     {
-      const Timer Each = m_Loop.every(BetweenRequests, Send);
+      const Timer Ticker = m_Loop.every(BetweenRequests, Send);
       wait(For);
     }
     REQUIRE(until([&] { return Done == Sent; }));
     return Result;
   }
 
-  /// Most arrivals in any span, from the time on at which the limit binds.
+  /// \returns the most arrivals in any span after the limit has become known.
   std::size_t maxArrivalsInSpan(const std::string &Id) {
     const std::vector<TimePoint> &At = m_Arrived[Id];
     std::size_t Most = 0;
     for (std::size_t First = 0, Next = 0; Next < At.size(); ++Next) {
-      while (At[Next] - At[First] >= Span || At[First] < At[0] + Grace) {
+      while (At[Next] - At[First] >= Span || At[First] < At[0] + SettlingTime) {
         if (First == Next)
           break;
         ++First;
       }
-      if (At[First] >= At[0] + Grace)
+      if (At[First] >= At[0] + SettlingTime)
         Most = std::max(Most, Next - First + 1);
     }
     return Most;
@@ -134,8 +135,8 @@
   }
 
   std::vector<std::unique_ptr<Gateway>> m_Boxes;
-  std::map<std::string, std::string>
-      m_SignalHeaders; ///< Header fields of answers.
+  /// Header fields of answers, by runner.
+  std::map<std::string, std::string> m_SignalHeaders;
   std::map<std::string, int> m_Status;
   std::map<std::string, std::vector<TimePoint>> m_Arrived;
   int m_Ids = 0;
--- a/tests/gateway/WarmUpTest.cpp
+++ b/tests/gateway/WarmUpTest.cpp
@@ -10,22 +10,22 @@
 using Request = StandinRunner::Request;
 using ConnectionPtr = StandinRunner::ConnectionPtr;
 
-void answerWell(const Request &Of, const ConnectionPtr &To) {
+void answerWithSuccess(const Request &Of, const ConnectionPtr &To) {
   To->write(StandinRunner::answer(Of, 200, "body"));
 }
 
-/// What became of requests that were sent at once.
+/// Counts how requests that were sent at once ended.
 struct Outcome {
   int m_Served = 0;
-  int m_Told = 0; ///< Refused, with when to come back.
+  int m_RetryLater = 0; ///< Refused with a time to retry after.
   int m_Other = 0;
 };
 
-/// A fleet before runners that bear 6.6 requests a second while cold.
+/// A fleet with runners that take 6.6 requests per second while cold.
 class WarmUpTest : public GatewayTest {
 public:
-  /// All boxes together, in any second.
-  static constexpr std::size_t MostPerS = 14;
+  /// Limit for the requests of all boxes together in any second.
+  static constexpr std::size_t MaxPerSecond = 14;
 
   explicit WarmUpTest(std::size_t Boxes) {
     Json Route = route("safe", "safe");
@@ -48,12 +48,13 @@
   }
 
   StandinRunner &listCold(const std::string &Id, int ColdMs) {
-    StandinRunner &Runner = addRunner(Id, answerWell);
+    StandinRunner &Runner = addRunner(Id, answerWithSuccess);
     listSlots(Id, 80, ColdMs);
     return Runner;
   }
 
-  /// Lists the runner \p Id; an entry with other slots is a later word.
+  /// Lists the runner \p Id. An entry with another number of slots is an
+  /// update.
   void listSlots(const std::string &Id, int Slots, int ColdMs) {
     Json Entry = entry(Id, "ready");
     Entry["slots"] = Slots;
@@ -76,7 +77,7 @@
               ++Result.m_Served;
             else if (Answer.m_Status == 503 &&
                      !findHeader(Answer.m_Headers, "Retry-After").empty())
-              ++Result.m_Told;
+              ++Result.m_RetryLater;
             else
               ++Result.m_Other;
           });
@@ -95,26 +96,28 @@
   std::vector<std::unique_ptr<Gateway>> m_Boxes;
 };
 
-/// Longer than a box that begins to admit waits for others' permits to lapse.
-constexpr Duration Settled = 3s;
+/// Longer than a new issuer waits for the permits of its predecessor to expire.
+constexpr Duration SettlingTime = 3s;
 
 } // namespace
 
-TEST_CASE("All boxes together keep the rate of a cold server",
+TEST_CASE("All boxes together keep the rate of a cold upstream",
           "[gateway][warmup]") {
   const auto Boxes = GENERATE(std::size_t{1}, std::size_t{3}, std::size_t{20});
   WarmUpTest Test(Boxes);
   REQUIRE(Test.until([&] { return Test.allKnowCold("cold"); }));
-  Test.wait(Settled);
+  Test.wait(SettlingTime);
   const Outcome All = Test.flood(60);
-  CAPTURE(Boxes, All.m_Served, All.m_Told);
+  CAPTURE(Boxes, All.m_Served, All.m_RetryLater);
   REQUIRE(All.m_Served >= 1);
-  REQUIRE(Test.m_Runners.at("cold")->requests().size() <= WarmUpTest::MostPerS);
+  REQUIRE(Test.m_Runners.at("cold")->requests().size() <=
+          WarmUpTest::MaxPerSecond);
   REQUIRE(All.m_Other == 0);
-  REQUIRE(All.m_Served + All.m_Told == 60);
+  REQUIRE(All.m_Served + All.m_RetryLater == 60);
 }
 
-TEST_CASE("What finds no permit goes to a warm server", "[gateway][warmup]") {
+TEST_CASE("A request without a permit goes to a warm upstream",
+          "[gateway][warmup]") {
   WarmUpTest Test(3);
   Test.listCold("warm", 0);
   REQUIRE(Test.until([&] {
@@ -123,7 +126,7 @@
           return Box->state().m_Upstreams.current().contains("warm");
         });
   }));
-  Test.wait(Settled);
+  Test.wait(SettlingTime);
   Test.listSlots("warm", 81, 0);
   REQUIRE(Test.until([&] {
     return std::none_of(
@@ -132,10 +135,11 @@
         });
   }));
   REQUIRE(Test.flood(60).m_Served == 60);
-  REQUIRE(Test.m_Runners.at("cold")->requests().size() <= WarmUpTest::MostPerS);
+  REQUIRE(Test.m_Runners.at("cold")->requests().size() <=
+          WarmUpTest::MaxPerSecond);
 }
 
-TEST_CASE("All boxes hear at once what one of them is told",
+TEST_CASE("All boxes learn at once that an upstream reported to be cold",
           "[gateway][warmup]") {
   WarmUpTest Test(20);
   const auto Cold = [](const Request &Of, const ConnectionPtr &To) {
@@ -143,7 +147,7 @@
                                     "X-Cold-Remaining-Ms: 60000\r\n"));
   };
   Test.m_Runners.at("cold")->setBehaviour(Cold);
-  // The entry says that it is warm by now; an answer that it is not.
+  // The entry states that the upstream is warm, but an answer that it is not.
   Test.listSlots("cold", 81, 0);
   REQUIRE(Test.until([&] {
     return std::none_of(
