--- a/packages/gateway/process/CrashExchange.cpp
+++ b/packages/gateway/process/CrashExchange.cpp
@@ -17,7 +17,7 @@
 constexpr Duration TickInterval = 250ms;
 
 /// Limit for completed runs that wait to be confirmed: ten times as many as a
-/// box completes within the blame window.
+/// box completes while they wait.
 constexpr std::size_t MaxRuns = 2048;
 
 /// How long a request is held for a running probe, which is answered or refused
--- a/packages/gateway/process/GatewayOptions.h
+++ b/packages/gateway/process/GatewayOptions.h
@@ -48,8 +48,8 @@
   /// Time after the start of an evacuation from which on no request goes to the
   /// data centre; empty if operators do not evacuate.
   std::optional<Duration> m_EvacuationDelay;
-  /// Refuse all keys while the configuration may be older than the time for
-  /// revocations.
+  /// Refuse all keys while the configuration may be older than
+  /// m_RevocationDelay.
   bool m_FailClosed = false;
 
   bool operator==(const ServingBounds &) const = default;
@@ -72,7 +72,7 @@
   Endpoint m_Readiness;          ///< Listens for readiness probes.
   Endpoint m_Metrics;            ///< Listens for requests for the metrics page.
   Endpoint m_Peers;              ///< Listens for links of other boxes.
-  std::vector<Endpoint> m_Seeds; ///< Peers to try first; they may be down.
+  std::vector<Endpoint> m_Seeds; ///< Possible peers; some may be down.
   std::string m_PeerSecret;
   Endpoint m_Store;          ///< Address of the coordination store.
   Duration m_MinLease = 1s;  ///< Shortest lease that the store grants.
--- a/packages/gateway/process/QuotaExchange.cpp
+++ b/packages/gateway/process/QuotaExchange.cpp
@@ -267,7 +267,8 @@
   m_AnsweredAt = Now;
   const auto Found = m_Queries.find(Frame.m_Id);
   // Another relay answered first, or the query timed out. Units that were
-  // granted twice are lost to the organisation, which never exceeds the quota.
+  // granted twice are lost to the organisation, so that its use stays below the
+  // quota.
   if (Found == m_Queries.end())
     return;
   m_Relay = From;
--- a/packages/gateway/process/UpstreamSignalExchange.cpp
+++ b/packages/gateway/process/UpstreamSignalExchange.cpp
@@ -41,7 +41,8 @@
   recordRetryAfter(Upstream, Answer);
 }
 
-/// Not sent to other boxes: the upstream rejects their requests itself.
+/// A time to retry after is not sent to other boxes, as the upstream rejects
+/// their requests itself.
 void UpstreamSignalExchange::recordRetryAfter(const UpstreamLife &Upstream,
                                               const AnswerFacts &Answer) {
   if (Answer.m_BadRetryAfter)
--- a/packages/gateway/request/CrashGuard.cpp
+++ b/packages/gateway/request/CrashGuard.cpp
@@ -8,8 +8,9 @@
 namespace {
 
 /// Upper limit of the random delay of a send. An upstream crashes about 100 ms
-/// after the request was sent, and boxes receive that in as long again: of
-/// tries that come at four a second, one or two are sent in that time.
+/// after the request was sent, and it takes as long again until other boxes
+/// know: with such a delay, of tries that come at four a second, one or two are
+/// sent in that time.
 constexpr Duration MaxRetryDelay = 2s;
 
 } // namespace
--- a/packages/gateway/request/ProxiedRequest.cpp
+++ b/packages/gateway/request/ProxiedRequest.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// Upper limit for requests for which the caller set no deadline; the route's
-/// timeout ends them earlier.
+/// Deadline of requests for which the caller set none. The timeout of the route
+/// ends them earlier.
 constexpr Duration MaxDeadline = 3600s;
 
 /// Time after which a caller should retry if no listed upstream is eligible:
@@ -30,9 +30,9 @@
 /// Idle timeouts as multiples of what is usual: of the target of a plain
 /// service; of the expected time to the first token, which takes up to two and
 /// a half times as long; of the target for gaps in a stream.
-constexpr int IdleTargets = 3;
-constexpr double IdleExpected = 2.5;
-constexpr int IdleGaps = 4;
+constexpr int IdleTargetMultiple = 3;
+constexpr double IdleExpectedMultiple = 2.5;
+constexpr int IdleGapMultiple = 4;
 
 /// Weight of the maximum number of output tokens: most answers are shorter.
 constexpr double OutputTokenWeight = 0.5;
@@ -454,10 +454,10 @@
     State.m_Prefixes.noteRead(To.m_Id, m_Request);
   m_Call = m_Owner.m_Client.start(std::move(Call));
   if (!streaming())
-    return expectBytesWithin(IdleTargets * m_Route.m_Target);
+    return expectBytesWithin(IdleTargetMultiple * m_Route.m_Target);
   expectBytesWithin(std::max<Duration>(
-      MinIdleTimeout,
-      fromMillis(IdleExpected * Chosen.m_ExpectedMs) + m_Route.m_Target));
+      MinIdleTimeout, fromMillis(IdleExpectedMultiple * Chosen.m_ExpectedMs) +
+                          m_Route.m_Target));
 }
 
 /// Only idempotent requests that may be sent again have an idle timeout. Others
@@ -537,7 +537,8 @@
     m_LastEvent = m_Events.lastId();
   if (!m_Exchange->sendChunk(Events))
     return cut();
-  expectBytesWithin(std::max(MinIdleTimeout, IdleGaps * m_Route.m_GapTarget));
+  expectBytesWithin(
+      std::max(MinIdleTimeout, IdleGapMultiple * m_Route.m_GapTarget));
 }
 
 void ProxiedRequest::onEnd(HttpEnd End) {
