--- a/tests/decisions/process/PermitIssuerTest.cpp
+++ b/tests/decisions/process/PermitIssuerTest.cpp
@@ -53,7 +53,8 @@
     ColdFleet Faulty(How, Seed, Load, Bound, Boxes);
     Dice Draw(Seed + 1000);
     playFaults(Faulty, Draw, 12);
-    const std::size_t Worst = std::max(Quiet.worstSpan(), Faulty.worstSpan());
+    const std::size_t Worst =
+        std::max(Quiet.maxArrivalsInSpan(), Faulty.maxArrivalsInSpan());
     Result.m_Worst =
         std::max(Result.m_Worst, static_cast<double>(Worst) / Bound.m_Most);
   }
@@ -122,7 +123,7 @@
     ColdFleet Fleet(Strategy::Admitter, Seed, *drawn(5, 200) / 10.0);
     Dice Draw(Seed + 1);
     playFaults(Fleet, Draw, *drawn(4, 16));
-    RC_ASSERT(static_cast<double>(Fleet.worstSpan()) <=
+    RC_ASSERT(static_cast<double>(Fleet.maxArrivalsInSpan()) <=
               Tolerance.maxRate(Spec));
   });
 }
@@ -199,7 +200,7 @@
                     Boxes);
     Dice Draw(Seed + 1);
     playFaults(Fleet, Draw, *drawn(4, 16));
-    RC_ASSERT(static_cast<double>(Fleet.worstSpan()) <= Bound.m_Most);
+    RC_ASSERT(static_cast<double>(Fleet.maxArrivalsInSpan()) <= Bound.m_Most);
   });
 }
 
--- a/tests/gateway/ServerRetryAfterTest.cpp
+++ b/tests/gateway/ServerRetryAfterTest.cpp
@@ -1,4 +1,4 @@
-#include "gateway/ServerWordsFleet.h"
+#include "gateway/UpstreamSignalsFleet.h"
 
 using namespace havenstair;
 
@@ -11,47 +11,47 @@
 } // namespace
 
 TEST_CASE(
-    "A server that turns a box away gets nothing from it for the time that "
-    "it asks for",
+    "An upstream that rejects a box gets no requests from it for the time "
+    "that it states",
     "[gateway][server-retry-after]") {
   const auto Boxes = GENERATE(std::size_t{1}, std::size_t{3});
   const bool Others = GENERATE(true, false);
-  ServerWordsFleet Test(Boxes);
-  Test.addSaying("busy", retryAfter("30"));
+  UpstreamSignalsFleet Test(Boxes);
+  Test.addRunnerSending("busy", retryAfter("30"));
   Test.m_Status["busy"] = 503;
-  Test.begin();
-  const FleetOutcome First = Test.play(1s);
+  Test.untilAllReady();
+  const FleetOutcome First = Test.sendFor(1s);
   if (Others) {
-    Test.addSaying("whole");
-    Test.begin();
+    Test.addRunnerSending("whole");
+    Test.untilAllReady();
   }
-  const FleetOutcome Second = Test.play(1s);
-  CAPTURE(Boxes, Others, First.m_Told, Second.m_Served, Second.m_Told);
+  const FleetOutcome Second = Test.sendFor(1s);
+  CAPTURE(Boxes, Others, First.m_RetryLater, Second.m_Served,
+          Second.m_RetryLater);
   REQUIRE(Test.m_Arrived["busy"].size() == Boxes);
-  REQUIRE(First.m_Told == First.all());
-  REQUIRE((Others ? Second.m_Served : Second.m_Told) == Second.all());
+  REQUIRE(First.m_RetryLater == First.all());
+  REQUIRE((Others ? Second.m_Served : Second.m_RetryLater) == Second.all());
 }
 
-TEST_CASE("A server is sent to again after the time that it named",
+TEST_CASE("An upstream is used again after the time that it stated",
           "[gateway][server-retry-after]") {
-  ServerWordsFleet Test(1);
-  Test.addSaying("busy", retryAfter("0.5"));
+  UpstreamSignalsFleet Test(1);
+  Test.addRunnerSending("busy", retryAfter("0.5"));
   Test.m_Status["busy"] = 503;
-  Test.begin();
-  const FleetOutcome First = Test.play(200ms);
-  REQUIRE(First.m_Told == First.all());
+  Test.untilAllReady();
+  const FleetOutcome First = Test.sendFor(200ms);
+  REQUIRE(First.m_RetryLater == First.all());
   Test.m_Status["busy"] = 200;
-  Test.m_Words["busy"] = "";
+  Test.m_SignalHeaders["busy"] = "";
   REQUIRE(Test.sendOne().m_Served == 1);
 }
 
-TEST_CASE(
-    "An answer to another request does not end the time that a server named",
-    "[gateway][server-retry-after]") {
-  ServerWordsFleet Test(1);
-  Test.addSaying("busy");
-  Test.begin();
-  // The first is answered late, after the second was turned away.
+TEST_CASE("An answer to another request does not end the time to retry after",
+          "[gateway][server-retry-after]") {
+  UpstreamSignalsFleet Test(1);
+  Test.addRunnerSending("busy");
+  Test.untilAllReady();
+  // The first request is answered after the second one was rejected.
   std::vector<std::pair<StandinRunner::Request, StandinRunner::ConnectionPtr>>
       Held;
   Test.m_Runners["busy"]->setBehaviour(
@@ -75,6 +75,6 @@
   Held.front().second->write(
       StandinRunner::answer(Held.front().first, 200, "body"));
   REQUIRE(Test.until([&] { return Statuses == std::vector{503, 200}; }));
-  REQUIRE(Test.play(200ms).m_Served == 0);
+  REQUIRE(Test.sendFor(200ms).m_Served == 0);
   REQUIRE(Test.m_Runners["busy"]->requests().size() == 2);
 }
