--- /dev/null
+++ b/packages/gateway/process/ComponentOptions.cpp
@@ -0,0 +1,59 @@
+#include "gateway/process/ComponentOptions.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace havenstair {
+
+namespace {
+
+/// Where the platform gives no secret, links rely on its network; the proof
+/// then only keeps out what is no box of ours.
+constexpr const char *OpenSecret = "havenstair gateway fleet";
+
+} // namespace
+
+Fleet::Options fleetOptions(const GatewayOptions &Settings,
+                            const PlatformBinding &Binding,
+                            const BoxName &Process, RandomUnit Random) {
+  Fleet::Options Opts;
+  Opts.m_Box = Process;
+  Opts.m_DataCentre = Settings.m_DataCentre;
+  Opts.m_Capacity = Settings.m_Capacity;
+  Opts.m_Peers = Settings.m_Peers;
+  Opts.m_Seeds = Settings.m_Seeds;
+  Opts.m_Secret =
+      Settings.m_PeerSecret.empty() ? OpenSecret : Settings.m_PeerSecret;
+  Opts.m_Prefix = Binding.m_OwnPrefix;
+  Opts.m_Lease = std::max(Opts.m_Lease, Settings.m_LeastLease);
+  Opts.m_Random = std::move(Random);
+  return Opts;
+}
+
+OrderLeader::Options leaderOptions(const GatewayOptions &Settings,
+                                   const PlatformBinding &Binding,
+                                   const GatewayPolicy &Policy,
+                                   const BoxName &Process) {
+  OrderLeader::Options Opts;
+  Opts.m_Election.m_Prefix = Binding.m_OwnPrefix;
+  Opts.m_Election.m_Machine = Settings.m_Box.str();
+  Opts.m_Election.m_Process = Process.str();
+  Opts.m_Election.m_Lease =
+      std::max(Opts.m_Election.m_Lease, Settings.m_LeastLease);
+  Opts.m_Bounds = Settings.m_Bounds;
+  Opts.m_Planner = Policy.m_Planner;
+  Opts.m_Adapters = Policy.m_Adapters;
+  Opts.m_Rates = Policy.m_Rates;
+  Opts.m_MinReplicaStay = fromMillis(Policy.m_ReplicaStaysMs);
+  return Opts;
+}
+
+Forwarder::Options forwarderOptions(const GatewayPolicy &Policy) {
+  Forwarder::Options Opts;
+  Opts.m_Weights = Policy.m_Choice;
+  Opts.m_Admission = Policy.m_Admission;
+  Opts.m_Pace = Policy.m_Pace;
+  return Opts;
+}
+
+} // namespace havenstair
--- a/packages/gateway/process/PartOptions.h
+++ b/packages/gateway/process/ComponentOptions.h
@@ -1,25 +1,25 @@
 /// \file
 /// Options of a gateway's parts, from its settings and policy.
-#ifndef HAVENSTAIR_GATEWAY_PROCESS_PARTOPTIONS_H
-#define HAVENSTAIR_GATEWAY_PROCESS_PARTOPTIONS_H
+#ifndef HAVENSTAIR_GATEWAY_PROCESS_COMPONENTOPTIONS_H
+#define HAVENSTAIR_GATEWAY_PROCESS_COMPONENTOPTIONS_H
 
 #include "gateway/process/Fleet.h"
 #include "gateway/process/GatewayOptions.h"
 #include "gateway/process/GatewayPolicy.h"
-#include "gateway/process/OrderGiver.h"
+#include "gateway/process/OrderLeader.h"
 #include "gateway/process/PlatformBinding.h"
 #include "gateway/request/Forwarder.h"
 
 namespace havenstair {
 
 /// \p Process: name of this start of the box.
-Fleet::Options fleetOptions(const GatewayOptions &Of,
+Fleet::Options fleetOptions(const GatewayOptions &Settings,
                             const PlatformBinding &Binding,
                             const BoxName &Process, RandomUnit Random);
-OrderGiver::Options giverOptions(const GatewayOptions &Of,
-                                 const PlatformBinding &Binding,
-                                 const GatewayPolicy &Policy,
-                                 const BoxName &Process);
+OrderLeader::Options leaderOptions(const GatewayOptions &Settings,
+                                   const PlatformBinding &Binding,
+                                   const GatewayPolicy &Policy,
+                                   const BoxName &Process);
 Forwarder::Options forwarderOptions(const GatewayPolicy &Policy);
 
 } // namespace havenstair
--- a/packages/gateway/process/ConfigFollower.h
+++ b/packages/gateway/process/ConfigFollower.h
@@ -13,21 +13,21 @@
 
 class DecisionLog;
 class Fleet;
-class PrefixMirror;
+class WatchCache;
 
 /// Takes the steps of ConfigPursuit: asks other boxes for their copy, reads the
 /// store, and begins a dead watch again.
 class ConfigFollower {
 public:
-  struct Parts {
+  struct Dependencies {
     Fleet &m_Fleet;
     const ServingState &m_State;
-    PrefixMirror &m_Mirror; ///< Of the configuration.
+    WatchCache &m_Cache; ///< Of the configuration.
     DecisionLog &m_Log;
   };
   struct Hooks {
     /// The next box on the way to the one that gives orders; may be empty.
-    std::function<BoxName()> m_TowardsGiver;
+    std::function<BoxName()> m_NextHopToLeader;
     /// Asks a box for all that it knows better.
     std::function<void(const BoxName &)> m_Ask;
     /// Connections to the store may be dead without saying so.
@@ -36,29 +36,30 @@
     std::function<Duration(TimePoint Now)> m_Age;
   };
 
-  ConfigFollower(Parts Of, Hooks Callbacks);
+  ConfigFollower(Dependencies Deps, Hooks Callbacks);
 
   /// \p From, a relay, tells which version it has, and which it knows of.
-  void heard(const BoxName &From, const FleetDigestFrame &Frame, TimePoint Now);
+  void recordDigest(const BoxName &From, const FleetDigestFrame &Frame,
+                    TimePoint Now);
   /// Goes on, also when no box says anything more.
-  void pursue(TimePoint Now);
-  void forget(const BoxName &Box) { m_Pursuit.forget(Box); }
+  void proceed(TimePoint Now);
+  void forget(const BoxName &Box) { m_FetchPolicy.forget(Box); }
   /// Whether the uplink of this box, a leaf, sends its configuration,
   /// compressed: hundreds of leaves that read each version from the store make
   /// more calls than all else that a fleet does.
   bool asksUplink() const;
-  const ConfigPursuit::Told &newest() const { return m_Pursuit.newest(); }
+  const ConfigPursuit::Told &newest() const { return m_FetchPolicy.newest(); }
   /// How long ago another box first told of a version that this one lacks; 0
   /// when it lacks none.
   Duration behind(TimePoint Now) const;
 
 private:
-  bool leavesReads() const;
+  bool delegatesReads() const;
   void ask(const BoxName &Holder);
 
-  Parts m_Of;
+  Dependencies m_Deps;
   Hooks m_Hooks;
-  ConfigPursuit m_Pursuit;
+  ConfigPursuit m_FetchPolicy;
 };
 
 } // namespace havenstair
--- a/packages/gateway/process/ConfigAnswers.cpp
+++ b/packages/gateway/process/ConfigSendQueue.cpp
@@ -1,27 +1,29 @@
-#include "gateway/process/ConfigAnswers.h"
+#include "gateway/process/ConfigSendQueue.h"
 
 #include <utility>
 
 namespace havenstair {
 
-ConfigAnswers::ConfigAnswers(Hooks Callbacks) : m_Hooks(std::move(Callbacks)) {}
+ConfigSendQueue::ConfigSendQueue(Hooks Callbacks)
+    : m_Hooks(std::move(Callbacks)) {}
 
-void ConfigAnswers::asked(const BoxName &By, ConfigVersion Held,
-                          ConfigVersion Own) {
+void ConfigSendQueue::request(const BoxName &Requester, ConfigVersion Held,
+                              ConfigVersion Own) {
   if (Held >= Own)
     return;
-  m_Waiting[By] = Held;
-  proceed(Own);
-  if (m_Waiting.contains(By))
-    m_Hooks.m_Delayed(By, m_Hooks.m_Slow(By) ? "slow_link" : "busy_links");
+  m_Waiting[Requester] = Held;
+  sendWaiting(Own);
+  if (m_Waiting.contains(Requester))
+    m_Hooks.m_Delayed(Requester,
+                      m_Hooks.m_Slow(Requester) ? "slow_link" : "busy_links");
 }
 
-void ConfigAnswers::holds(const BoxName &Box, ConfigVersion Held) {
+void ConfigSendQueue::recordVersion(const BoxName &Box, ConfigVersion Held) {
   if (const auto Found = m_Waiting.find(Box); Found != m_Waiting.end())
     Found->second = Held;
 }
 
-void ConfigAnswers::proceed(ConfigVersion Own) {
+void ConfigSendQueue::sendWaiting(ConfigVersion Own) {
   std::erase_if(m_Waiting,
                 [Own](const auto &Each) { return Each.second >= Own; });
   // A link that fails as it is written to leaves the map.
--- a/packages/gateway/process/ConfigAnswers.h
+++ b/packages/gateway/process/ConfigSendQueue.h
@@ -1,7 +1,7 @@
 /// \file
 /// Copies of the configuration that other boxes have asked this one for.
-#ifndef HAVENSTAIR_GATEWAY_PROCESS_CONFIGANSWERS_H
-#define HAVENSTAIR_GATEWAY_PROCESS_CONFIGANSWERS_H
+#ifndef HAVENSTAIR_GATEWAY_PROCESS_CONFIGSENDQUEUE_H
+#define HAVENSTAIR_GATEWAY_PROCESS_CONFIGSENDQUEUE_H
 
 #include "decisions/common/Id.h"
 #include "decisions/version/ServingConfig.h"
@@ -14,7 +14,7 @@
 /// Sends them a few at a time. All leaves of a relay ask at once: to fill its
 /// links would hold up its words, and to drop the rest would make these read
 /// the store.
-class ConfigAnswers {
+class ConfigSendQueue {
 public:
   struct Hooks {
     /// Whether so much waits on all links that a copy has to wait, too.
@@ -26,15 +26,15 @@
     std::function<void(const BoxName &, std::string_view Why)> m_Delayed;
   };
 
-  explicit ConfigAnswers(Hooks Callbacks);
+  explicit ConfigSendQueue(Hooks Callbacks);
 
   /// \p By, which has \p Held, asks for \p Own, the version of this box.
-  void asked(const BoxName &By, ConfigVersion Held, ConfigVersion Own);
+  void request(const BoxName &Requester, ConfigVersion Held, ConfigVersion Own);
   /// \p Box has \p Held, on whatever way it came.
-  void holds(const BoxName &Box, ConfigVersion Held);
+  void recordVersion(const BoxName &Box, ConfigVersion Held);
   /// Sends \p Own, the version of this box, to those that wait, while links
   /// are free.
-  void proceed(ConfigVersion Own);
+  void sendWaiting(ConfigVersion Own);
   void forget(const BoxName &Box) { m_Waiting.erase(Box); }
 
 private:
--- a/packages/gateway/process/CoordinationStore.h
+++ b/packages/gateway/process/CoordinationStore.h
@@ -108,8 +108,8 @@
   virtual void transact(const StoreTransaction &Transaction,
                         WriteDone Callback) = 0;
   virtual void grantLease(Duration TimeToLive, LeaseDone Callback) = 0;
-  virtual void keepLease(LeaseId Lease, Done Callback) = 0;
-  virtual void endLease(LeaseId Lease, Done Callback) = 0;
+  virtual void renewLease(LeaseId Lease, Done Callback) = 0;
+  virtual void revokeLease(LeaseId Lease, Done Callback) = 0;
 };
 
 } // namespace havenstair
--- a/packages/gateway/process/Fleet.cpp
+++ b/packages/gateway/process/Fleet.cpp
@@ -167,7 +167,7 @@
   link();
 }
 
-bool Fleet::holderIs(const BoxName &Holder) {
+bool Fleet::setLeader(const BoxName &Holder) {
   if (!m_Topology.holderIs(Holder))
     return false;
   link();
--- a/packages/gateway/process/Fleet.h
+++ b/packages/gateway/process/Fleet.h
@@ -6,7 +6,7 @@
 #include "decisions/process/FleetTopology.h"
 #include "gateway/process/GatewayOptions.h"
 #include "gateway/process/LeasedKey.h"
-#include "gateway/process/PrefixMirror.h"
+#include "gateway/process/WatchCache.h"
 #include "wire/common/EventLoop.h"
 #include "wire/process/PeerMesh.h"
 #include <functional>
@@ -100,7 +100,7 @@
   const BoxName &self() const { return m_Opts.m_Box; }
   const FleetTopology &topology() const { return m_Topology; }
   /// \returns whether that changes the topology.
-  bool holderIs(const BoxName &Holder);
+  bool setLeader(const BoxName &Holder);
   /// This box and the others that are listed or linked.
   std::set<BoxName> processes() const;
   std::size_t size() const { return processes().size(); }
--- a/packages/gateway/process/FleetExchange.h
+++ b/packages/gateway/process/FleetExchange.h
@@ -5,10 +5,10 @@
 #define HAVENSTAIR_GATEWAY_PROCESS_FLEETEXCHANGE_H
 
 #include "decisions/process/EchoClock.h"
-#include "gateway/process/LeafLists.h"
+#include "gateway/process/LeafSubsets.h"
 #include "gateway/process/ListFollower.h"
-#include "gateway/process/PrefixMirror.h"
 #include "gateway/process/ServingState.h"
+#include "gateway/process/WatchCache.h"
 #include "wire/common/EventLoop.h"
 #include "wire/connection/PeerFrames.h"
 #include <functional>
@@ -21,7 +21,7 @@
 
 class DecisionLog;
 class Fleet;
-class OrderGiver;
+class OrderLeader;
 
 /// Runs the exchange along the fleet's topology. Relays tell each other of
 /// themselves and their leaves; a leaf tells one relay, its uplink, and hears
@@ -33,7 +33,7 @@
     RandomUnit m_Random;
   };
   /// What the exchange reads and changes.
-  using Parts = ListFollower::Parts;
+  using Dependencies = ListFollower::Dependencies;
   struct Hooks {
     /// Contents of engines were learned.
     std::function<void()> m_ContentsChanged;
@@ -41,7 +41,8 @@
     std::function<void()> m_DropConnections;
   };
 
-  FleetExchange(EventLoop &Loop, Parts Of, Options Opts, Hooks Callbacks);
+  FleetExchange(EventLoop &Loop, Dependencies Deps, Options Opts,
+                Hooks Callbacks);
   FleetExchange(const FleetExchange &) = delete;
   FleetExchange &operator=(const FleetExchange &) = delete;
 
@@ -51,9 +52,9 @@
   void linkDown(const BoxName &Box);
   void onFrame(const BoxName &From, const PeerFrame &Frame);
   /// Contents that this box knows as the order giver.
-  void tellContents(const FleetContentsFrame &Frame);
+  void publishContents(const FleetContentsFrame &Frame);
   /// Requests wait for \p Key, which no engine holds.
-  void missing(const ModelKey &Key);
+  void reportMissing(const ModelKey &Key);
   /// A newer configuration was taken.
   void configChanged();
   /// The list of upstreams has changed.
@@ -61,73 +62,73 @@
   /// The list of evacuations has changed.
   void evacuationsChanged();
   /// Boxes that this one is the relay of.
-  std::size_t leaves() const { return m_Leaves.size(); }
+  std::size_t leafCount() const { return m_Leaves.size(); }
   ListFollower &lists() { return m_Lists; }
   const ListFollower &lists() const { return m_Lists; }
   /// Whether the store has answered this box just now.
-  bool storeJustReached() const;
+  bool storeReachable() const;
 
 private:
-  void arranged();
-  void tell();
-  void tellLoads();
-  void tellLoadsLater();
-  void tellRelays(FleetDigestFrame Frame, TimePoint Now);
-  void tellLeaves(FleetDigestFrame Frame, TimePoint Now);
-  void tellTotals(TimePoint Now);
-  FleetDigestFrame word(TimePoint Now);
-  Duration heldUp(const FleetDigestFrame &Frame, TimePoint Now) const;
+  void onTopologyChanged();
+  void sendDigests();
+  void sendLoads();
+  void scheduleLoads();
+  void sendRelayDigests(FleetDigestFrame Frame, TimePoint Now);
+  void sendLeafDigests(FleetDigestFrame Frame, TimePoint Now);
+  void sendLoadTotals(TimePoint Now);
+  FleetDigestFrame makeDigest(TimePoint Now);
+  Duration excessDelay(const FleetDigestFrame &Frame, TimePoint Now) const;
 
-  void tellBox(const BoxName &To, FleetDigestFrame Frame);
-  void toLeaves(const PeerFrame &Frame);
-  void newsToLeaves(bool All);
-  void tellLeaf(const BoxName &To);
-  bool readsForOthers(const PrefixMirror &Mirror) const;
+  void sendDigest(const BoxName &To, FleetDigestFrame Frame);
+  void sendToLeaves(const PeerFrame &Frame);
+  void sendListUpdates(bool All);
+  void sendListSnapshot(const BoxName &To);
+  bool readsForOthers(const WatchCache &Cache) const;
   void dropSilentLeaves(TimePoint Now);
   bool strongerUplinkLinked() const;
   void chooseUplink(TimePoint Now);
-  BoxName towardsGiver() const;
-  void askPeers();
+  BoxName nextHopToLeader() const;
+  void requestFromPeers();
 
-  void take(const BoxName &From, const FleetDigestFrame &Frame);
-  void takeFromLeaf(const BoxName &From, const FleetDigestFrame &Frame,
-                    TimePoint Now);
-  void take(const BoxName &From, const FleetLoadsFrame &Frame);
-  void take(const BoxName &From, const FleetTotalsFrame &Frame);
-  void take(const BoxName &From, const FleetWantFrame &Frame) {
-    m_Lists.answer(From, Frame);
+  void receive(const BoxName &From, const FleetDigestFrame &Frame);
+  void receiveFromLeaf(const BoxName &From, const FleetDigestFrame &Frame,
+                       TimePoint Now);
+  void receive(const BoxName &From, const FleetLoadsFrame &Frame);
+  void receive(const BoxName &From, const FleetTotalsFrame &Frame);
+  void receive(const BoxName &From, const FleetWantFrame &Frame) {
+    m_Lists.answerRequest(From, Frame);
   }
-  void take(const BoxName &From, const FleetKeysFrame &Frame) {
+  void receive(const BoxName &From, const FleetKeysFrame &Frame) {
     m_Lists.adopt(From, Frame);
   }
-  void take(const BoxName &From, const FleetContentsFrame &Frame);
-  void take(const BoxName &From, const FleetMissingFrame &Frame);
+  void receive(const BoxName &From, const FleetContentsFrame &Frame);
+  void receive(const BoxName &From, const FleetMissingFrame &Frame);
 
   /// A box that asked this one to be its relay.
   struct Leaf {
-    TimePoint m_HeardAt{};
-    std::uint64_t m_Totals = 0; ///< The last that it was told; 0 for none.
+    TimePoint m_LastDigestAt{};
+    std::uint64_t m_SentTotals = 0; ///< The last that it was told; 0 for none.
   };
 
   EventLoop &m_Loop;
-  Parts m_Of;
+  Dependencies m_Deps;
   Options m_Opts;
   Hooks m_Hooks;
   FencingToken m_ContentsToken = 0;
   EchoClock m_Clock;
   std::map<BoxName, Leaf> m_Leaves;
-  LeafLists m_LeafLists;
-  StoreRevision m_ListToldAt = 0; ///< Of the list that others were told.
-  InstanceLoads m_Totals;         ///< As last told to the leaves.
-  std::uint64_t m_TotalsNumber = 0;
+  LeafSubsets m_LeafSubsets;
+  StoreRevision m_SentListRevision = 0; ///< Of the list that others were told.
+  InstanceLoads m_SentTotals;           ///< As last told to the leaves.
+  std::uint64_t m_SentTotalsNumber = 0;
   BoxName m_Uplink; ///< Empty on a relay.
   TimePoint m_UplinkSince{};
-  TimePoint m_UplinkHeardAt{};
-  std::uint64_t m_TotalsHeard = 0; ///< From the uplink; 0 for none.
+  TimePoint m_UplinkLastDigestAt{};
+  std::uint64_t m_ReceivedTotalsNumber = 0; ///< From the uplink; 0 for none.
   ListFollower m_Lists;
-  Timer m_TellTimer;
+  Timer m_DigestTimer;
   Timer m_LoadsTimer;
-  Timer m_AskTimer;
+  Timer m_RequestTimer;
 };
 
 } // namespace havenstair
--- a/packages/gateway/process/Gateway.cpp
+++ b/packages/gateway/process/Gateway.cpp
@@ -1,7 +1,7 @@
 #include "gateway/process/Gateway.h"
 
-#include "gateway/process/ObservedEngines.h"
-#include "gateway/process/PartOptions.h"
+#include "gateway/process/ComponentOptions.h"
+#include "gateway/process/ObservedEngineControl.h"
 #include "gateway/request/UpstreamCall.h"
 #include "wire/common/Build.h"
 #include "wire/common/Crypto.h"
@@ -14,42 +14,42 @@
 namespace {
 
 /// Changes of upstreams that come together cost one call to the store.
-constexpr Duration GatherUpstreams = 200ms;
+constexpr Duration UpstreamCoalesceDelay = 200ms;
 
 /// The same for boxes; they start together.
-constexpr Duration GatherBoxes = 300ms;
+constexpr Duration BoxCoalesceDelay = 300ms;
 /// In a large fleet boxes come and go all the time, and relays that learn of
 /// them a second later lose nothing.
-constexpr Duration GatherBoxesInLarge = 1s;
+constexpr Duration LargeFleetBoxCoalesceDelay = 1s;
 /// A box that starts needs to find its relays: all may have started with it.
-constexpr Duration StartsWithin = 5s;
+constexpr Duration StartupWindow = 5s;
 
 /// How long a watch may wait before it is asked again. A watch whose connection
 /// was lost on the way says nothing until then: the list of upstreams must not
 /// be older than the time in which a leaving one may still get work. The other
 /// boxes tell of a newer configuration, and new boxes make themselves known.
-constexpr Duration WaitForConfig = 20s;
-constexpr Duration WaitForBoxes = 10s;
+constexpr Duration ConfigWatchWait = 20s;
+constexpr Duration BoxWatchWait = 10s;
 
 /// How often the settings are read without a signal.
-constexpr Duration ReloadEvery = 2s;
+constexpr Duration ReloadInterval = 2s;
 
 /// The balancer needs two questions, a second apart, to see that a box stops.
-constexpr Duration LeastStop = 3s;
+constexpr Duration MinStopTime = 3s;
 
 /// What is left of the grace period when the process ends by itself.
 constexpr Duration GraceMargin = 600ms;
-constexpr Duration StopCheckEvery = 100ms;
-constexpr Duration FlushFor = 400ms;
+constexpr Duration StopCheckInterval = 100ms;
+constexpr Duration FlushTime = 400ms;
 
 /// Callers' connections may rest longer than the callers themselves use them.
 constexpr Duration IdleMargin = 10s;
 
 /// Upstreams named in one log line.
-constexpr std::size_t MostLogged = 16;
+constexpr std::size_t MaxLoggedNames = 16;
 
 /// Tells one start of a box from another.
-constexpr std::size_t NameBytes = 3;
+constexpr std::size_t ProcessSuffixBytes = 3;
 
 constexpr const char *MetricsPath = "/metrics";
 
@@ -69,7 +69,7 @@
       m_StoreCalls(Loop, m_Log,
                    [this] {
                      return StoreCallLog::Role{m_Fleet.topology().relay(),
-                                               m_Giver.giving()};
+                                               m_Leader.leading()};
                    }),
       m_Random(std::random_device()()), m_UpstreamHttp(Loop), m_StoreHttp(Loop),
       m_Store(std::make_unique<MeteredStore>(
@@ -82,7 +82,7 @@
                   },
               .m_Reached =
                   [this] { m_Fleet.noteStoreReached(EventLoop::now()); }})),
-      m_Engines(std::make_unique<ObservedEngines>(
+      m_Engines(std::make_unique<ObservedEngineControl>(
           m_Binding.m_MakeEngines(m_UpstreamHttp),
           [this](const auto &Of, const auto &Report, TimePoint AskedAt) {
             m_Permits->heard(Of.m_Id, Report.m_ColdFor, AskedAt);
@@ -93,7 +93,7 @@
           Loop, m_UpstreamHttp, m_State, m_Binding.m_Dialect, m_Log,
           forwarderOptions(m_Policy),
           {.m_Missing =
-               [this](const ModelKey &Key) { m_Exchange.missing(Key); },
+               [this](const ModelKey &Key) { m_Exchange.reportMissing(Key); },
            .m_Ended =
                [this](const RequestResult &Result) {
                  m_Metrics.ended(Result);
@@ -107,54 +107,57 @@
            .m_MayTrustKeys = [this] { return mayTrustKeys(); },
            .m_ConfigVouch =
                [this](TimePoint Now) {
-                 return m_Exchange.lists().configVouch(Now);
+                 return m_Exchange.lists().configFreshness(Now);
                },
            .m_Random = [this] { return drawUnit(m_Random); }}),
       m_Registry(m_Binding.m_DecodeUpstream, m_Log),
-      m_ConfigMirror(
+      m_ConfigCache(
           Loop, *m_Store,
-          mirrorOptions(m_Binding.m_ConfigPrefix, 0us, WaitForConfig),
+          cacheOptions(m_Binding.m_ConfigPrefix, 0us, ConfigWatchWait),
           {.m_Changed = [this] { configChanged(); },
            .m_ReadEnded = [this](const auto &End) { logConfigRead(End); }}),
-      m_UpstreamMirror(Loop, *m_Store,
-                       mirrorOptions(m_Binding.m_UpstreamPrefix,
-                                     GatherUpstreams, PrefixMirror::CloseWait),
-                       {.m_Changed = [this] { upstreamsChanged(); }}),
-      m_OwnMirror(Loop, *m_Store,
-                  mirrorOptions(m_Binding.m_OwnPrefix, GatherBoxes,
-                                WaitForBoxes, ReadKind::Stale),
-                  {.m_Changed = [this] { ownKeysChanged(); }}),
-      m_EvacuationMirror(Loop, *m_Store,
-                         mirrorOptions(m_Binding.m_EvacuationPrefix, 0us,
-                                       PrefixMirror::CloseWait),
-                         {.m_Changed = [this] { evacuationsChanged(); }}),
-      m_Process(m_Options.m_Box.str() + "." + randomHex(NameBytes)),
+      m_UpstreamCache(Loop, *m_Store,
+                      cacheOptions(m_Binding.m_UpstreamPrefix,
+                                   UpstreamCoalesceDelay,
+                                   WatchCache::ShortWait),
+                      {.m_Changed = [this] { upstreamsChanged(); }}),
+      m_OwnKeysCache(Loop, *m_Store,
+                     cacheOptions(m_Binding.m_OwnPrefix, BoxCoalesceDelay,
+                                  BoxWatchWait, ReadKind::Stale),
+                     {.m_Changed = [this] { ownKeysChanged(); }}),
+      m_EvacuationCache(Loop, *m_Store,
+                        cacheOptions(m_Binding.m_EvacuationPrefix, 0us,
+                                     WatchCache::ShortWait),
+                        {.m_Changed = [this] { evacuationsChanged(); }}),
+      m_ProcessName(m_Options.m_Box.str() + "." +
+                    randomHex(ProcessSuffixBytes)),
       m_Fleet(Loop, *m_Store, m_Log,
-              fleetOptions(m_Options, m_Binding, m_Process,
+              fleetOptions(m_Options, m_Binding, m_ProcessName,
                            [this] { return drawUnit(m_Random); }),
               fleetHooks()),
-      m_Giver(Loop, *m_Store, *m_Engines, m_State, m_Log,
-              giverOptions(m_Options, m_Binding, m_Policy, m_Process),
-              {.m_Contents =
-                   [this](const FleetContentsFrame &Frame) {
-                     m_Exchange.tellContents(Frame);
-                   },
-               .m_Ordered =
-                   [this](std::string_view Operation, std::string_view Answer) {
-                     m_Metrics.ordered(Operation, Answer);
-                   },
-               .m_HolderRead = [this] { return m_OwnMirror.confirmedAt(); },
-               .m_Random = [this] { return drawUnit(m_Random); }}),
+      m_Leader(
+          Loop, *m_Store, *m_Engines, m_State, m_Log,
+          leaderOptions(m_Options, m_Binding, m_Policy, m_ProcessName),
+          {.m_ContentsChanged =
+               [this](const FleetContentsFrame &Frame) {
+                 m_Exchange.publishContents(Frame);
+               },
+           .m_OrderAnswered =
+               [this](std::string_view Operation, std::string_view Answer) {
+                 m_Metrics.ordered(Operation, Answer);
+               },
+           .m_KeysReadAt = [this] { return m_OwnKeysCache.confirmedAt(); },
+           .m_Random = [this] { return drawUnit(m_Random); }}),
       m_Exchange(
           Loop,
           {.m_Fleet = m_Fleet,
-           .m_Giver = m_Giver,
+           .m_Leader = m_Leader,
            .m_State = m_State,
-           .m_Config = m_ConfigMirror,
-           .m_Upstreams = m_UpstreamMirror,
+           .m_Config = m_ConfigCache,
+           .m_Upstreams = m_UpstreamCache,
            .m_Registry = m_Registry,
-           .m_Boxes = m_OwnMirror,
-           .m_Evacuations = m_EvacuationMirror,
+           .m_Boxes = m_OwnKeysCache,
+           .m_Evacuations = m_EvacuationCache,
            .m_Log = m_Log},
           {.m_Lists = {.m_DrainTimeout = m_Options.m_Bounds.m_DrainTimeout,
                        .m_FirstStart = m_Options.m_FirstStart},
@@ -165,7 +168,7 @@
       m_Quotas(std::make_shared<QuotaExchange>(
           Loop, m_Fleet, m_Log, m_Options.m_Bounds.quotaTolerance(),
           QuotaExchange::Hooks{
-              .m_Leaves = [this] { return m_Exchange.leaves(); }})),
+              .m_Leaves = [this] { return m_Exchange.leafCount(); }})),
       m_Permits(std::make_shared<PermitExchange>(
           Loop, m_Fleet,
           PermitExchange::Views{.m_WarmUp = m_State.m_WarmUp,
@@ -188,14 +191,14 @@
           Loop, m_Fleet, m_State.m_Upstreams, m_State.m_Words, m_Log,
           ServerWordExchange::Hooks{
               .m_LimitsChanged = [this] { m_Permits->refreshRole(); },
-              .m_Leaves = [this] { serverLeaves(); }})) {
+              .m_Leaves = [this] { onUpstreamDraining(); }})) {
   m_Forwarder.setDesks(m_Quotas, m_Permits, m_Crashes, m_Words);
-  m_State.standsIn(m_Options.m_DataCentre, m_Options.m_Regions);
+  m_State.setLocation(m_Options.m_DataCentre, m_Options.m_Regions);
   applyBounds();
   startServers();
-  m_OwnMirror.start();
-  m_ReloadTimer = Loop.every(ReloadEvery, [this] { reload(); });
-  m_Log.write("started", {{"box", m_Process.str()},
+  m_OwnKeysCache.start();
+  m_ReloadTimer = Loop.every(ReloadInterval, [this] { reload(); });
+  m_Log.write("started", {{"box", m_ProcessName.str()},
                           {"build", buildName()},
                           {"protocol", OwnProtocol},
                           {"zone", m_State.m_Zone},
@@ -205,12 +208,12 @@
 
 Gateway::~Gateway() = default;
 
-PrefixMirror::Options Gateway::mirrorOptions(const std::string &Prefix,
-                                             Duration Gather, Duration Wait,
-                                             ReadKind FirstRead) {
+WatchCache::Options Gateway::cacheOptions(const std::string &Prefix,
+                                          Duration CoalesceDelay, Duration Wait,
+                                          ReadKind FirstRead) {
   return {.m_Prefix = Prefix,
           .m_Wait = Wait,
-          .m_Gather = Gather,
+          .m_CoalesceDelay = CoalesceDelay,
           .m_FirstRead = FirstRead,
           .m_Retry = {.m_First = 100ms, .m_Cap = 1s, .m_Random = [this] {
                         return drawUnit(m_Random);
@@ -262,29 +265,30 @@
                           }},
           .m_Changed = [this] { m_Forwarder.crashesChanged(); },
           .m_Asked = [this](auto What) { m_Metrics.serverAsked(What); },
-          .m_Writes = [this] { return m_Giver.giving(); }};
+          .m_Writes = [this] { return m_Leader.leading(); }};
 }
 
 void Gateway::ownKeysChanged() {
-  m_Fleet.entriesChanged(m_OwnMirror.items());
-  m_Giver.entriesChanged(m_OwnMirror.items());
+  m_Fleet.entriesChanged(m_OwnKeysCache.items());
+  m_Leader.entriesChanged(m_OwnKeysCache.items());
   m_Exchange.boxesChanged();
   m_Quotas->boxesChanged();
-  m_Crashes->entriesChanged(m_OwnMirror.items());
+  m_Crashes->entriesChanged(m_OwnKeysCache.items());
   m_Permits->refreshRole();
-  const bool Starting = EventLoop::now() - m_StartedAt < StartsWithin;
-  m_OwnMirror.setGather(
-      m_Fleet.topology().flat() || Starting ? GatherBoxes : GatherBoxesInLarge);
+  const bool Starting = EventLoop::now() - m_StartedAt < StartupWindow;
+  m_OwnKeysCache.setCoalesceDelay(m_Fleet.topology().flat() || Starting
+                                      ? BoxCoalesceDelay
+                                      : LargeFleetBoxCoalesceDelay);
   m_State.m_Boxes = std::max(m_State.m_Boxes, static_cast<int>(m_Fleet.size()));
 }
 
 /// A connection to the store may be dead without saying so.
 void Gateway::resync() {
   m_StoreHttp.forget(m_Options.m_Store);
-  m_ConfigMirror.resync();
-  m_UpstreamMirror.resync();
-  m_OwnMirror.resync();
-  m_EvacuationMirror.resync();
+  m_ConfigCache.resync();
+  m_UpstreamCache.resync();
+  m_OwnKeysCache.resync();
+  m_EvacuationCache.resync();
 }
 
 void Gateway::startServers() {
@@ -324,7 +328,7 @@
   Now.m_ConfigVersion = Number(m_State.configVersion());
   const ListFollower &Lists = m_Exchange.lists();
   Now.m_ConfigTold = Number(Lists.config().newest().m_Version);
-  Now.m_ConfigAge = inSeconds(Lists.configVouch(EventLoop::now()).m_Age);
+  Now.m_ConfigAge = inSeconds(Lists.configFreshness(EventLoop::now()).m_Age);
   Now.m_ConfigBehind = inSeconds(Lists.config().behind(EventLoop::now()));
   Now.m_ListRevision = Number(m_State.m_Upstreams.list().m_Revision);
   Now.m_Upstreams = Number(m_State.m_Upstreams.current().size());
@@ -338,9 +342,9 @@
     Now.m_PeerBytes[Kind] = Number(Sent.m_Bytes);
   }
   Now.m_FramesSkipped = Number(m_Fleet.skipped());
-  Now.m_StoreReached = m_Exchange.storeJustReached() ? 1 : 0;
-  Now.m_GivesOrders = m_Giver.giving() ? 1 : 0;
-  Now.m_FencingToken = Number(m_Giver.holder().m_Token);
+  Now.m_StoreReached = m_Exchange.storeReachable() ? 1 : 0;
+  Now.m_GivesOrders = m_Leader.leading() ? 1 : 0;
+  Now.m_FencingToken = Number(m_Leader.leader().m_Token);
   Now.m_LogLinesLeftOut = Number(m_Log.leftOut());
   Now.m_BarredRequests = Number(m_State.m_Crashes.bars().size());
   Now.m_BackedOffServers = Number(m_State.m_Words.backedOff(EventLoop::now()));
@@ -368,7 +372,7 @@
   // A box that serves when operators begin to evacuate goes on meanwhile.
   const bool Evacuates = Bounds.m_Evacuation.has_value();
   m_State.m_NeedsEvacuations =
-      Evacuates && (m_State.m_NeedsEvacuations || !m_State.knowsAll());
+      Evacuates && (m_State.m_NeedsEvacuations || !m_State.hasRequiredState());
   m_Exchange.lists().followEvacuations(Evacuates);
   if (!Evacuates)
     endEvacuations();
@@ -387,7 +391,7 @@
 bool Gateway::mayTrustKeys() const {
   const ServingBounds &Bounds = m_Options.m_Bounds;
   return !Bounds.m_FailClosed ||
-         EventLoop::now() - m_Exchange.lists().configAsOf() <=
+         EventLoop::now() - m_Exchange.lists().configConfirmedAt() <=
              Bounds.m_Revocation;
 }
 
@@ -398,14 +402,14 @@
       return;
     m_Options.m_Bounds = Read.m_Bounds;
     applyBounds();
-    m_Giver.setBounds(m_Options.m_Bounds);
+    m_Leader.setBounds(m_Options.m_Bounds);
     m_Log.write("settings_changed", {{"box", m_Options.m_Box.str()}});
   } catch (const std::exception &Error) {
     m_Log.write("bad_settings", {{"why", Error.what()}});
   }
 }
 
-void Gateway::logConfigRead(const PrefixMirror::ReadEnd &End) {
+void Gateway::logConfigRead(const WatchCache::ReadOutcome &End) {
   const char *Outcome = toString(End.m_Status);
   m_Metrics.configRead(Outcome);
   m_Log.write("config_read", {{"kind", toString(End.m_Kind)},
@@ -420,7 +424,7 @@
   const TimePoint Now = EventLoop::now();
   const ConfigPursuit::Told &Known = m_Exchange.lists().config().newest();
   const bool Told = Known.m_Version >= Read.m_Version;
-  const char *Source = toString(m_ConfigMirror.source());
+  const char *Source = toString(m_ConfigCache.source());
   m_Metrics.configTaken(Source);
   m_Log.write("config",
               {{"version", Read.m_Version},
@@ -429,7 +433,7 @@
                {"organisations", Read.m_Organisations.size()},
                {"revision", Revision},
                {"source", Source},
-               {"age_ms", m_Exchange.lists().configVouch(Now).m_Age / 1ms},
+               {"age_ms", m_Exchange.lists().configFreshness(Now).m_Age / 1ms},
                {"told_by", Told ? Known.m_By.str() : ""},
                {"told_ms", Told ? Json((Now - Known.m_At) / 1ms) : Json()}});
 }
@@ -459,7 +463,7 @@
 }
 
 void Gateway::configChanged() {
-  for (const auto &[Key, Item] : m_ConfigMirror.items())
+  for (const auto &[Key, Item] : m_ConfigCache.items())
     if (takeConfig(Item))
       m_Exchange.configChanged();
   m_Permits->refreshRole();
@@ -468,10 +472,10 @@
 }
 
 InstanceList Gateway::readUpstreams() {
-  const PrefixMirror &List = m_UpstreamMirror;
-  return List.part() ? m_Registry.readShortlist(List.items(), List.revision())
-                     : m_Registry.read(List.items(), List.revision(),
-                                       m_State.m_DataCentres);
+  const WatchCache &List = m_UpstreamCache;
+  return List.partial() ? m_Registry.readSubset(List.items(), List.revision())
+                        : m_Registry.read(List.items(), List.revision(),
+                                          m_State.m_DataCentres);
 }
 
 void Gateway::upstreamsChanged() {
@@ -480,7 +484,7 @@
   Json Names = Json::array();
   for (const UpstreamInstance &Each : Gone) {
     m_State.forget(Each.m_Id);
-    if (Names.size() < MostLogged)
+    if (Names.size() < MaxLoggedNames)
       Names.push_back(Each.m_Id);
     // Connections that were kept ended with it; nothing may be sent on them.
     if (const auto Address = Endpoint::parse(Each.m_Address);
@@ -491,27 +495,27 @@
   m_Permits->listed(m_State.m_Upstreams.list());
   m_Crashes->listed();
   m_Log.write("upstreams",
-              {{"revision", m_UpstreamMirror.revision()},
+              {{"revision", m_UpstreamCache.revision()},
                {"listed", m_Registry.size()},
                {"known", m_State.m_Upstreams.list().m_Instances.size()},
                {"tell_birth", m_State.m_Upstreams.tellingBirth()},
                {"gone", std::move(Names)},
                {"all_gone", Gone.size()}});
   m_Exchange.upstreamsChanged();
-  m_Giver.upstreamsChanged();
+  m_Leader.upstreamsChanged();
   m_Forwarder.upstreamsChanged();
   m_Forwarder.releaseEarly();
 }
 
 /// A server said so itself.
-void Gateway::serverLeaves() {
-  m_Giver.upstreamsChanged();
+void Gateway::onUpstreamDraining() {
+  m_Leader.upstreamsChanged();
   m_Forwarder.upstreamsChanged();
 }
 
 void Gateway::evacuationsChanged() {
-  Evacuations Asked{.m_Revision = m_EvacuationMirror.revision()};
-  for (const auto &[Key, Item] : m_EvacuationMirror.items())
+  Evacuations Asked{.m_Revision = m_EvacuationCache.revision()};
+  for (const auto &[Key, Item] : m_EvacuationCache.items())
     Asked.m_DataCentres.emplace(
         Key.substr(m_Binding.m_EvacuationPrefix.size()));
   applyEvacuations(std::move(Asked));
@@ -532,14 +536,15 @@
       "evacuations",
       {{"revision", View.evacuations().m_Revision},
        {"data_centres", std::move(Names)},
-       {"age_ms", std::min<Duration>(
-                      NoListAge, Now - m_Exchange.lists().evacuationsAsOf()) /
-                      1ms}});
+       {"age_ms",
+        std::min<Duration>(NoListAge,
+                           Now - m_Exchange.lists().evacuationsConfirmedAt()) /
+            1ms}});
   // Engines that come back may have turned cold without a word.
   for (const DataCentreName &Each : Before.m_DataCentres)
     if (!View.evacuations().contains(Each))
       m_State.m_WarmUp.suspectAt(Each, Now);
-  m_Giver.evacuationsChanged(Now);
+  m_Leader.evacuationsChanged(Now);
   m_Forwarder.upstreamsChanged();
   m_Forwarder.releaseEarly();
 }
@@ -548,17 +553,17 @@
   if (std::exchange(m_State.m_Stopping, true))
     return;
   const TimePoint Now = EventLoop::now();
-  m_LeaveAt = Now + LeastStop;
+  m_LeaveAt = Now + MinStopTime;
   m_BusyAt = Now;
   m_StopAt = Now + m_Options.m_Bounds.m_GracePeriod - GraceMargin;
   m_Callers->closeAfterAnswers();
   // Those that wait for a load go elsewhere at once.
   m_Forwarder.upstreamsChanged();
   m_Forwarder.releaseEarly();
-  m_Giver.leave();
+  m_Leader.resign();
   m_Fleet.leave();
   m_Log.write("stopping", {{"open", m_Forwarder.open()}});
-  m_StopTimer = m_Loop.every(StopCheckEvery, [this] { stopIfIdle(); });
+  m_StopTimer = m_Loop.every(StopCheckInterval, [this] { stopIfIdle(); });
 }
 
 void Gateway::stopIfIdle() {
@@ -566,7 +571,7 @@
   if (m_Forwarder.open() > 0)
     m_BusyAt = Now;
   // The last bytes of an answer are still on their way when its request ends.
-  const bool Idle = Now >= m_LeaveAt && Now - m_BusyAt >= FlushFor;
+  const bool Idle = Now >= m_LeaveAt && Now - m_BusyAt >= FlushTime;
   if (!Idle && Now < m_StopAt)
     return;
   m_Log.write("stopped", {{"open", m_Forwarder.open()}});
--- a/packages/gateway/process/Gateway.h
+++ b/packages/gateway/process/Gateway.h
@@ -10,15 +10,15 @@
 #include "gateway/process/GatewayMetrics.h"
 #include "gateway/process/GatewayPolicy.h"
 #include "gateway/process/MeteredStore.h"
-#include "gateway/process/OrderGiver.h"
+#include "gateway/process/OrderLeader.h"
 #include "gateway/process/PermitExchange.h"
 #include "gateway/process/PlatformBinding.h"
-#include "gateway/process/PrefixMirror.h"
 #include "gateway/process/QuotaExchange.h"
 #include "gateway/process/ServerWordExchange.h"
 #include "gateway/process/ServingState.h"
 #include "gateway/process/StoreCallLog.h"
 #include "gateway/process/UpstreamRegistry.h"
+#include "gateway/process/WatchCache.h"
 #include "gateway/request/Forwarder.h"
 #include "wire/common/EventLoop.h"
 #include "wire/common/HttpClient.h"
@@ -51,7 +51,7 @@
   const ServingState &state() const { return m_State; }
   /// Requests that have no answer yet.
   std::size_t openRequests() const { return m_Forwarder.open(); }
-  bool givesOrders() const { return m_Giver.giving(); }
+  bool leading() const { return m_Leader.leading(); }
   std::size_t peers() const { return m_Fleet.linked().size(); }
   /// Entries of the list of upstreams, as far as this box knows them.
   std::size_t listedUpstreams() const { return m_Registry.size(); }
@@ -59,7 +59,7 @@
   const std::map<std::string_view, Fleet::Sent> &sent() const {
     return m_Fleet.sent();
   }
-  bool watchesList() const { return m_UpstreamMirror.running(); }
+  bool watchesList() const { return m_UpstreamCache.running(); }
 
   /// Reads the settings again; a bad file leaves the last good ones in force.
   void reload();
@@ -69,19 +69,19 @@
 private:
   Fleet::Hooks fleetHooks();
   CrashExchange::Hooks crashHooks();
-  PrefixMirror::Options mirrorOptions(const std::string &Prefix,
-                                      Duration Gather, Duration Wait,
-                                      ReadKind FirstRead = ReadKind::Current);
+  WatchCache::Options cacheOptions(const std::string &Prefix,
+                                   Duration CoalesceDelay, Duration Wait,
+                                   ReadKind FirstRead = ReadKind::Current);
   void startServers();
   void ownKeysChanged();
   void resync();
   void configChanged();
   bool takeConfig(const StoreItem &Item);
-  void logConfigRead(const PrefixMirror::ReadEnd &End);
+  void logConfigRead(const WatchCache::ReadOutcome &End);
   void logConfig(const ServingConfig &Read, StoreRevision Revision);
   InstanceList readUpstreams();
   void upstreamsChanged();
-  void serverLeaves();
+  void onUpstreamDraining();
   void evacuationsChanged();
   void endEvacuations();
   void applyEvacuations(Evacuations Asked);
@@ -108,13 +108,13 @@
   ServingState m_State;
   Forwarder m_Forwarder;
   UpstreamRegistry m_Registry;
-  PrefixMirror m_ConfigMirror;
-  PrefixMirror m_UpstreamMirror;
-  PrefixMirror m_OwnMirror;
-  PrefixMirror m_EvacuationMirror;
-  BoxName m_Process; ///< Name of this start of the process.
+  WatchCache m_ConfigCache;
+  WatchCache m_UpstreamCache;
+  WatchCache m_OwnKeysCache;
+  WatchCache m_EvacuationCache;
+  BoxName m_ProcessName; ///< Name of this start of the process.
   Fleet m_Fleet;
-  OrderGiver m_Giver;
+  OrderLeader m_Leader;
   FleetExchange m_Exchange;
   std::shared_ptr<QuotaExchange> m_Quotas;
   std::shared_ptr<PermitExchange> m_Permits;
--- /dev/null
+++ b/packages/gateway/process/LeafSubsets.cpp
@@ -0,0 +1,100 @@
+#include "gateway/process/LeafSubsets.h"
+
+#include "gateway/process/ListFollower.h"
+#include <algorithm>
+#include <utility>
+
+namespace havenstair {
+
+namespace {
+
+/// A leaf goes through all that it knows at each change: with this rest that
+/// takes a small part of its processor, however much it knows.
+constexpr Duration PausePerEntry = 1ms;
+
+} // namespace
+
+LeafSubsets::Keys LeafSubsets::keys(const Shortlist::Chosen &Upstreams,
+                                    const WatchCache &List) {
+  Keys Result;
+  for (const UpstreamInstance *Each : Upstreams) {
+    const std::string Name = List.prefix() + Each->m_Id;
+    Result.emplace(Name, Key{.m_Revision = List.items().at(Name).m_Revision,
+                             .m_Draining = Each->m_Draining});
+  }
+  return Result;
+}
+
+/// Whether an upstream that is known has left or begins to.
+bool LeafSubsets::urgent(const Keys &Before, const Keys &Now,
+                         const WatchCache &List) {
+  return std::any_of(Before.begin(), Before.end(), [&](const auto &Each) {
+    const auto Known = Now.find(Each.first);
+    return Known == Now.end()
+               ? !List.items().contains(Each.first)
+               : Known->second.m_Draining && !Each.second.m_Draining;
+  });
+}
+
+EncodedFrame LeafSubsets::encodeDelta(SentState &State, Keys Now,
+                                      const WatchCache &List, TimePoint When) {
+  WatchCache::Delta Update{.m_Since = State.m_Revision,
+                           .m_Revision = List.revision(),
+                           .m_Part = true,
+                           .m_Items = {},
+                           .m_Gone = {}};
+  for (const auto &[Name, Each] : Now) {
+    const auto Known = State.m_Keys.find(Name);
+    if (Known == State.m_Keys.end() ||
+        Known->second.m_Revision != Each.m_Revision)
+      Update.m_Items.push_back(List.items().at(Name));
+  }
+  for (const auto &[Name, Each] : State.m_Keys)
+    if (!Now.contains(Name))
+      Update.m_Gone.push_back(Name);
+  State = {.m_Revision = List.revision(),
+           .m_SentAt = When,
+           .m_Keys = std::move(Now),
+           .m_Snapshot = std::nullopt};
+  return EncodedFrame(ListFollower::keysFrame(List, Update));
+}
+
+std::optional<EncodedFrame>
+LeafSubsets::takeUpdate(const DataCentreName &DataCentre,
+                        const WatchCache &List, const Shortlist &Subset,
+                        TimePoint Now, bool AtOnce) {
+  const auto Found = m_Lists.find(DataCentre);
+  if (Found == m_Lists.end() || Found->second.m_Revision == List.revision())
+    return std::nullopt;
+  SentState &Known = Found->second;
+  Keys Next = keys(Subset.forDataCentre(DataCentre), List);
+  const auto Entries = static_cast<Duration::rep>(Next.size());
+  const bool Rested = Now - Known.m_SentAt >= Entries * PausePerEntry;
+  if (!AtOnce && !Rested && !urgent(Known.m_Keys, Next, List))
+    return std::nullopt;
+  return encodeDelta(Known, std::move(Next), List, Now);
+}
+
+const EncodedFrame &LeafSubsets::snapshot(const DataCentreName &DataCentre,
+                                          const WatchCache &List,
+                                          const Shortlist &Subset,
+                                          TimePoint Now) {
+  SentState &Known = m_Lists[DataCentre];
+  if (!Known.m_Snapshot) {
+    // All is news to one who knows nothing.
+    Known = SentState();
+    EncodedFrame All = encodeDelta(
+        Known, keys(Subset.forDataCentre(DataCentre), List), List, Now);
+    Known.m_Snapshot.emplace(std::move(All));
+  }
+  return *Known.m_Snapshot;
+}
+
+std::optional<StoreRevision>
+LeafSubsets::sentRevision(const DataCentreName &DataCentre) const {
+  const auto Found = m_Lists.find(DataCentre);
+  return Found == m_Lists.end() ? std::nullopt
+                                : std::optional(Found->second.m_Revision);
+}
+
+} // namespace havenstair
--- a/packages/gateway/process/LeasedKey.cpp
+++ b/packages/gateway/process/LeasedKey.cpp
@@ -24,9 +24,9 @@
       m_Keeper(keeperOptions(m_Opts)), m_Backoff(m_Opts.m_Retry) {}
 
 template <typename Call> auto LeasedKey::guarded(Call Then) {
-  return [this, Round = m_Round, Alive = std::weak_ptr<bool>(m_Alive),
+  return [this, Generation = m_Generation, Alive = std::weak_ptr<bool>(m_Alive),
           Then = std::move(Then)](const auto &...Values) {
-    if (!Alive.expired() && Round == m_Round)
+    if (!Alive.expired() && Generation == m_Generation)
       Then(Values...);
   };
 }
@@ -35,20 +35,20 @@
   return m_Claimed && m_Keeper.held(Now);
 }
 
-void LeasedKey::answered(StoreStatus Status) {
+void LeasedKey::onAnswer(StoreStatus Status) {
   if (reached(Status))
     m_Backoff.reset();
   m_Hooks.m_Answered(reached(Status));
 }
 
-void LeasedKey::lose() {
+void LeasedKey::onLost() {
   if (std::exchange(m_Claimed, false))
     m_Hooks.m_Lost();
 }
 
 void LeasedKey::tick(TimePoint Now) {
   if (m_Claimed && !m_Keeper.held(Now))
-    lose();
+    onLost();
   const std::optional<LeaseAction> Action = m_Keeper.tick(Now);
   if (!Action)
     return;
@@ -62,7 +62,7 @@
   m_Store.grantLease(
       m_Opts.m_TimeToLive,
       guarded([this, Now](StoreStatus Status, LeaseId Lease, Duration) {
-        answered(Status);
+        onAnswer(Status);
         if (Status != StoreStatus::Ok)
           return m_Keeper.failed(EventLoop::now() + m_Backoff.next());
         m_Lease = Lease;
@@ -72,21 +72,21 @@
 }
 
 void LeasedKey::renew(TimePoint Now) {
-  m_Store.keepLease(m_Lease, guarded([this, Now](StoreStatus Status) {
-                      answered(Status);
-                      if (Status == StoreStatus::Ok) {
-                        m_Keeper.granted(std::to_string(m_Lease), Now);
-                        if (!m_Claimed)
-                          claim(Now);
-                        return;
-                      }
-                      if (Status != StoreStatus::NotFound)
-                        return m_Keeper.failed(EventLoop::now() +
-                                               m_Backoff.next());
-                      m_Lease = 0;
-                      m_Keeper.lost(EventLoop::now());
-                      lose();
-                    }));
+  m_Store.renewLease(m_Lease, guarded([this, Now](StoreStatus Status) {
+                       onAnswer(Status);
+                       if (Status == StoreStatus::Ok) {
+                         m_Keeper.granted(std::to_string(m_Lease), Now);
+                         if (!m_Claimed)
+                           claim(Now);
+                         return;
+                       }
+                       if (Status != StoreStatus::NotFound)
+                         return m_Keeper.failed(EventLoop::now() +
+                                                m_Backoff.next());
+                       m_Lease = 0;
+                       m_Keeper.lost(EventLoop::now());
+                       onLost();
+                     }));
 }
 
 void LeasedKey::claim(TimePoint) {
@@ -100,7 +100,7 @@
   m_Store.transact(*Transaction,
                    guarded([this](StoreStatus Status, StoreRevision Revision) {
                      m_Claiming = false;
-                     answered(Status);
+                     onAnswer(Status);
                      if (Status == StoreStatus::Ok) {
                        m_Claimed = true;
                        return m_Hooks.m_Claimed(Revision);
@@ -119,13 +119,13 @@
 
 void LeasedKey::release() {
   const LeaseId Ended = std::exchange(m_Lease, 0);
-  ++m_Round;
+  ++m_Generation;
   m_Claiming = false;
   m_Keeper = LeaseKeeper(keeperOptions(m_Opts));
   m_Keeper.failed(EventLoop::now() + m_Backoff.next());
-  lose();
+  onLost();
   if (Ended != 0)
-    m_Store.endLease(Ended, [](StoreStatus) {});
+    m_Store.revokeLease(Ended, [](StoreStatus) {});
 }
 
 } // namespace havenstair
--- a/packages/gateway/process/LeasedKey.h
+++ b/packages/gateway/process/LeasedKey.h
@@ -56,8 +56,8 @@
   void create(TimePoint Now);
   void renew(TimePoint Now);
   void claim(TimePoint Now);
-  void answered(StoreStatus Status);
-  void lose();
+  void onAnswer(StoreStatus Status);
+  void onLost();
   /// A callback that is dropped when this object is gone or has started anew.
   template <typename Call> auto guarded(Call Then);
 
@@ -69,7 +69,7 @@
   LeaseId m_Lease = 0;
   bool m_Claimed = false;
   bool m_Claiming = false;
-  std::uint64_t m_Round = 0;
+  std::uint64_t m_Generation = 0;
   std::shared_ptr<bool> m_Alive = std::make_shared<bool>(true);
 };
 
--- a/packages/gateway/process/ManagedEngine.cpp
+++ b/packages/gateway/process/ManagedEngine.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 /// An adapter arrives in some milliseconds; engines tell of it much later.
-constexpr Duration AdapterArrivesIn = 40ms;
+constexpr Duration AdapterLoadTime = 40ms;
 
 /// Contents that the list does not tell are told again after this, changed or
 /// not: boxes may have missed them.
-constexpr Duration TellAgainAfter = 3s;
+constexpr Duration RepublishAfter = 3s;
 
 bool saysSame(const UpstreamInstance &Entry, const EngineContents &Contents) {
   return Contents.m_Models == Entry.m_Models && Contents.m_Retiring.empty() &&
@@ -20,29 +20,29 @@
 }
 
 /// When a load that is overdue is expected.
-constexpr Duration OverdueIn = 500ms;
+constexpr Duration OverdueDelay = 500ms;
 
 } // namespace
 
-bool ManagedEngine::startedAgain(UpstreamBirth Born, TimePoint Now) {
+bool ManagedEngine::recordStart(UpstreamBirth Born, TimePoint Now) {
   if (Born <= m_Born)
     return false;
   if (std::exchange(m_Born, Born) == 0)
     return false;
   m_Ledger.startAgain(Now);
-  beginAnew();
+  reset();
   return true;
 }
 
-bool ManagedEngine::heard(const ResidencyReport &Report, TimePoint Now,
-                          TimePoint AskedAt) {
+bool ManagedEngine::recordReport(const ResidencyReport &Report, TimePoint Now,
+                                 TimePoint AskedAt) {
   if (!m_Ledger.heard(Report, Now, AskedAt))
     return false;
-  beginAnew();
+  reset();
   return true;
 }
 
-void ManagedEngine::beginAnew() {
+void ManagedEngine::reset() {
   EngineLedger Ledger = std::move(m_Ledger);
   const UpstreamBirth Born = m_Born;
   *this = ManagedEngine();
@@ -58,20 +58,21 @@
   m_ServesAt = Now + fromMillis(Move.m_ServesInMs);
 }
 
-void ManagedEngine::keep(const std::set<std::string> &Models, TimePoint At) {
+void ManagedEngine::keepModels(const std::set<std::string> &Models,
+                               TimePoint At) {
   for (const ResidentModel &Model : m_Ledger.models())
     if (Models.contains(Model.m_Name))
-      m_ModelAt[Model.m_Name] = At;
+      m_ModelLoadedAt[Model.m_Name] = At;
 }
 
-void ManagedEngine::loadBegan(LoadSource Source, Duration Nominal,
-                              double Slowness, TimePoint Now) {
+void ManagedEngine::recordLoadStart(LoadSource Source, Duration Nominal,
+                                    double Slowness, TimePoint Now) {
   m_Load = {.m_Source = Source, .m_Nominal = Nominal, .m_Since = Now};
   const double Factor = Source == LoadSource::Store ? Slowness : 1;
   m_ServesAt = Now + fromMillis(Factor * inMillis(Nominal));
 }
 
-std::optional<double> ManagedEngine::loadEnded(TimePoint Now) {
+std::optional<double> ManagedEngine::recordLoadEnd(TimePoint Now) {
   const std::optional<Load> Ended = std::exchange(m_Load, std::nullopt);
   if (!Ended || Ended->m_Source != LoadSource::Store || Ended->m_Nominal <= 0us)
     return std::nullopt;
@@ -81,12 +82,13 @@
 void ManagedEngine::expectOverdue(TimePoint Now) {
   const auto &Order = m_Ledger.modelOrder();
   if (Order && Order->m_Load && Now >= m_ServesAt)
-    m_ServesAt = Now + OverdueIn;
+    m_ServesAt = Now + OverdueDelay;
 }
 
-PlannedEngine ManagedEngine::forModels(const UpstreamInstance &Entry,
-                                       double Slowness, Duration ReplicaStays,
-                                       TimePoint Now) const {
+PlannedEngine ManagedEngine::modelPlanEntry(const UpstreamInstance &Entry,
+                                            double Slowness,
+                                            Duration MinReplicaStay,
+                                            TimePoint Now) const {
   PlannedEngine Planned{.m_Id = Entry.m_Id,
                         .m_InMemory = m_Ledger.inMemory(),
                         .m_OnDisk = m_Ledger.onDisk(),
@@ -94,8 +96,8 @@
                         .m_Movable = m_Ledger.idle() && !m_Task,
                         .m_Leaving = Entry.m_Draining,
                         .m_DataCentre = DataCentreName(Entry.m_Zone)};
-  for (const auto &[Model, At] : m_ModelAt)
-    if (Now - At < ReplicaStays)
+  for (const auto &[Model, At] : m_ModelLoadedAt)
+    if (Now - At < MinReplicaStay)
       Planned.m_Fresh.insert(Model);
   for (const ResidentModel &Model :
        m_Ledger.known() ? m_Ledger.models() : Entry.m_Models)
@@ -115,16 +117,16 @@
   return Planned;
 }
 
-AdapterEngine ManagedEngine::forAdapters(const InstanceId &Id, double Busy,
-                                         Duration AdapterStays,
-                                         TimePoint Now) const {
+AdapterEngine ManagedEngine::adapterPlanEntry(const InstanceId &Id, double Busy,
+                                              Duration MinAdapterStay,
+                                              TimePoint Now) const {
   AdapterEngine Result{.m_Id = Id,
                        .m_Ledger = &m_Ledger,
                        .m_Busy = Busy,
                        .m_Retiring = {},
                        .m_Fresh = {}};
-  for (const auto &[Key, At] : m_AdapterAt)
-    if (Now - At < AdapterStays)
+  for (const auto &[Key, At] : m_AdapterOrderedAt)
+    if (Now - At < MinAdapterStay)
       Result.m_Fresh.insert(Key);
   if (m_Task)
     Result.m_Retiring.insert(m_Task->m_Move.m_Evict);
@@ -135,7 +137,7 @@
                                               TimePoint Now) const {
   EngineContents Result{
       .m_Engine = Id, .m_Born = m_Born, .m_Models = m_Ledger.models()};
-  if (Now - m_AdapterOrderAt >= AdapterArrivesIn)
+  if (Now - m_LastAdapterOrderAt >= AdapterLoadTime)
     for (ResidentModel &Model : Result.m_Models)
       for (const std::string &Adapter : m_Ledger.comingAdapters(Model.m_Name))
         Model.m_Adapters.insert(Adapter);
@@ -162,25 +164,26 @@
 }
 
 std::optional<EngineContents>
-ManagedEngine::takeNews(const UpstreamInstance &Entry, TimePoint Now) {
+ManagedEngine::takeUpdate(const UpstreamInstance &Entry, TimePoint Now) {
   EngineContents Lasting = lastingContents(Entry.m_Id, Now);
   // The first time, all that they know is what the list says.
-  if (!m_Told) {
-    m_Told = {
+  if (!m_Published) {
+    m_Published = {
         .m_Engine = Entry.m_Id, .m_Born = m_Born, .m_Models = Entry.m_Models};
-    m_ToldServesAt = m_ServesAt;
-    m_ToldAt = Now;
+    m_PublishedServesAt = m_ServesAt;
+    m_PublishedAt = Now;
   }
-  const bool Changed = Lasting != *m_Told || m_ServesAt != m_ToldServesAt;
+  const bool Changed =
+      Lasting != *m_Published || m_ServesAt != m_PublishedServesAt;
   // Were all engines told of every few seconds, that would be most of what
   // boxes of a large fleet tell each other.
   const bool Again =
-      !saysSame(Entry, Lasting) && Now - m_ToldAt >= TellAgainAfter;
+      !saysSame(Entry, Lasting) && Now - m_PublishedAt >= RepublishAfter;
   if (!Changed && !Again)
     return std::nullopt;
-  m_Told = std::move(Lasting);
-  m_ToldServesAt = m_ServesAt;
-  m_ToldAt = Now;
+  m_Published = std::move(Lasting);
+  m_PublishedServesAt = m_ServesAt;
+  m_PublishedAt = Now;
   return contents(Entry.m_Id, Now);
 }
 
--- a/packages/gateway/process/ManagedEngine.h
+++ b/packages/gateway/process/ManagedEngine.h
@@ -33,50 +33,51 @@
   EngineLedger m_Ledger;
   UpstreamBirth m_Born = 0; ///< Of the start that all of this is of.
   std::optional<EngineTask> m_Task;
-  bool m_ReportAsked = false;
+  bool m_ReportPending = false;
   TimePoint m_NextReport{};
   TimePoint m_ServesAt{}; ///< When its task or load is expected to end.
-  TimePoint m_AdapterOrderAt{};
-  std::map<std::string, TimePoint> m_ModelAt;  ///< When a model came.
-  std::map<AdapterKey, TimePoint> m_AdapterAt; ///< When it was ordered.
+  TimePoint m_LastAdapterOrderAt{};
+  std::map<std::string, TimePoint> m_ModelLoadedAt;   ///< When a model came.
+  std::map<AdapterKey, TimePoint> m_AdapterOrderedAt; ///< When it was ordered.
 
   /// A word of the start \p Born came. A later one than is known begins
   /// everything anew, but for orders that may still come late. \returns whether
   /// it did.
-  bool startedAgain(UpstreamBirth Born, TimePoint Now);
+  bool recordStart(UpstreamBirth Born, TimePoint Now);
   /// Whether \p Born is the start that is known, or is not told.
-  bool present(UpstreamBirth Born) const {
+  bool isCurrent(UpstreamBirth Born) const {
     return Born == 0 || m_Born == 0 || Born == m_Born;
   }
   /// What the engine says of itself. \returns whether it shows a start that was
   /// not told; all but late orders begins anew then.
-  bool heard(const ResidencyReport &Report, TimePoint Now, TimePoint AskedAt);
+  bool recordReport(const ResidencyReport &Report, TimePoint Now,
+                    TimePoint AskedAt);
   /// Starts to carry \p Move out.
   void begin(const PlannedMove &Move, TimePoint Now);
   /// Those of \p Models that it holds count as come at \p At.
-  void keep(const std::set<std::string> &Models, TimePoint At);
+  void keepModels(const std::set<std::string> &Models, TimePoint At);
   /// It has taken the order for a load that takes \p Nominal when few run, and
   /// \p Slowness times that now.
-  void loadBegan(LoadSource Source, Duration Nominal, double Slowness,
-                 TimePoint Now);
+  void recordLoadStart(LoadSource Source, Duration Nominal, double Slowness,
+                       TimePoint Now);
   /// A load has ended. \returns how much longer it took than its nominal time;
   /// none unless it came from the store of weights.
-  std::optional<double> loadEnded(TimePoint Now);
+  std::optional<double> recordLoadEnd(TimePoint Now);
   /// A load that is overdue is expected soon, as long as it is under way.
   void expectOverdue(TimePoint Now);
   /// For the plan of models, with what is under way counted as done. \p Entry
   /// stands in for the engine's own word until that is known.
-  PlannedEngine forModels(const UpstreamInstance &Entry, double Slowness,
-                          Duration ReplicaStays, TimePoint Now) const;
+  PlannedEngine modelPlanEntry(const UpstreamInstance &Entry, double Slowness,
+                               Duration MinReplicaStay, TimePoint Now) const;
   /// For the plan of adapters.
-  AdapterEngine forAdapters(const InstanceId &Id, double Busy,
-                            Duration AdapterStays, TimePoint Now) const;
+  AdapterEngine adapterPlanEntry(const InstanceId &Id, double Busy,
+                                 Duration MinAdapterStay, TimePoint Now) const;
   /// For the other boxes.
   EngineContents contents(const InstanceId &Id, TimePoint Now) const;
   /// The same if the boxes were told something else, or long ago what \p Entry,
   /// which all of them read, does not say; it counts as told then.
-  std::optional<EngineContents> takeNews(const UpstreamInstance &Entry,
-                                         TimePoint Now);
+  std::optional<EngineContents> takeUpdate(const UpstreamInstance &Entry,
+                                           TimePoint Now);
   /// Whether the boxes need to be told more than \p Entry says.
   bool differsFrom(const UpstreamInstance &Entry, TimePoint Now) const;
 
@@ -88,15 +89,15 @@
   };
 
   /// Forgets all but its ledger and birth.
-  void beginAnew();
+  void reset();
   /// All but the time that a load still takes, which changes all the time.
   EngineContents lastingContents(const InstanceId &Id, TimePoint Now) const;
 
   std::optional<Load> m_Load;
   /// Nothing at first: then all that its entry does not say is news.
-  std::optional<EngineContents> m_Told;
-  TimePoint m_ToldServesAt{};
-  TimePoint m_ToldAt{};
+  std::optional<EngineContents> m_Published;
+  TimePoint m_PublishedServesAt{};
+  TimePoint m_PublishedAt{};
 };
 
 } // namespace havenstair
--- a/packages/gateway/process/MeteredStore.cpp
+++ b/packages/gateway/process/MeteredStore.cpp
@@ -8,7 +8,7 @@
                            Hooks Callbacks)
     : m_Inner(std::move(Inner)), m_Hooks(std::move(Callbacks)) {}
 
-void MeteredStore::answered(StoreStatus Status) const {
+void MeteredStore::reportAnswer(StoreStatus Status) const {
   if (Status != StoreStatus::Lost && Status != StoreStatus::Refused)
     m_Hooks.m_Reached();
 }
@@ -18,7 +18,7 @@
   m_Hooks.m_Called(Kind == ReadKind::Stale ? "stale_range" : "range", Prefix);
   m_Inner->range(Prefix, Kind,
                  [this, Callback = std::move(Callback)](StoreItems Read) {
-                   answered(Read.m_Status);
+                   reportAnswer(Read.m_Status);
                    Callback(std::move(Read));
                  });
 }
@@ -36,7 +36,7 @@
   m_Inner->transact(Transaction,
                     [this, Callback = std::move(Callback)](
                         StoreStatus Status, StoreRevision Revision) {
-                      answered(Status);
+                      reportAnswer(Status);
                       Callback(Status, Revision);
                     });
 }
@@ -46,27 +46,27 @@
   m_Inner->grantLease(TimeToLive,
                       [this, Callback = std::move(Callback)](
                           StoreStatus Status, LeaseId Lease, Duration Granted) {
-                        answered(Status);
+                        reportAnswer(Status);
                         Callback(Status, Lease, Granted);
                       });
 }
 
-void MeteredStore::keepLease(LeaseId Lease, Done Callback) {
+void MeteredStore::renewLease(LeaseId Lease, Done Callback) {
   m_Hooks.m_Called("renew", {});
-  m_Inner->keepLease(
+  m_Inner->renewLease(
       Lease, [this, Callback = std::move(Callback)](StoreStatus Status) {
-        answered(Status);
+        reportAnswer(Status);
         Callback(Status);
       });
 }
 
-void MeteredStore::endLease(LeaseId Lease, Done Callback) {
+void MeteredStore::revokeLease(LeaseId Lease, Done Callback) {
   m_Hooks.m_Called("end_lease", {});
-  m_Inner->endLease(Lease,
-                    [this, Callback = std::move(Callback)](StoreStatus Status) {
-                      answered(Status);
-                      Callback(Status);
-                    });
+  m_Inner->revokeLease(
+      Lease, [this, Callback = std::move(Callback)](StoreStatus Status) {
+        reportAnswer(Status);
+        Callback(Status);
+      });
 }
 
 } // namespace havenstair
--- a/packages/gateway/process/MeteredStore.h
+++ b/packages/gateway/process/MeteredStore.h
@@ -34,11 +34,11 @@
   void transact(const StoreTransaction &Transaction,
                 WriteDone Callback) override;
   void grantLease(Duration TimeToLive, LeaseDone Callback) override;
-  void keepLease(LeaseId Lease, Done Callback) override;
-  void endLease(LeaseId Lease, Done Callback) override;
+  void renewLease(LeaseId Lease, Done Callback) override;
+  void revokeLease(LeaseId Lease, Done Callback) override;
 
 private:
-  void answered(StoreStatus Status) const;
+  void reportAnswer(StoreStatus Status) const;
 
   std::unique_ptr<CoordinationStore> m_Inner;
   Hooks m_Hooks;
--- a/packages/gateway/process/ObservedEngines.h
+++ b/packages/gateway/process/ObservedEngineControl.h
@@ -1,7 +1,7 @@
 /// \file
 /// Lets others read the reports that engines give to who orders.
-#ifndef HAVENSTAIR_GATEWAY_PROCESS_OBSERVEDENGINES_H
-#define HAVENSTAIR_GATEWAY_PROCESS_OBSERVEDENGINES_H
+#ifndef HAVENSTAIR_GATEWAY_PROCESS_OBSERVEDENGINECONTROL_H
+#define HAVENSTAIR_GATEWAY_PROCESS_OBSERVEDENGINECONTROL_H
 
 #include "decisions/common/Time.h"
 #include "gateway/process/EngineControl.h"
@@ -11,14 +11,15 @@
 namespace havenstair {
 
 /// Passes each call on to another control and tells of the reports.
-class ObservedEngines : public EngineControl {
+class ObservedEngineControl : public EngineControl {
 public:
   /// \p Of answered what was asked at \p AskedAt.
-  using Heard =
+  using ReportObserver =
       std::function<void(const UpstreamInstance &Of,
                          const ResidencyReport &Report, TimePoint AskedAt)>;
 
-  ObservedEngines(std::unique_ptr<EngineControl> Inner, Heard Callback);
+  ObservedEngineControl(std::unique_ptr<EngineControl> Inner,
+                        ReportObserver Callback);
 
   void order(const UpstreamInstance &To, const ResidencyOrder &Order,
              const OrderStamp &Stamp, OrderDone Callback) override;
@@ -26,7 +27,7 @@
 
 private:
   std::unique_ptr<EngineControl> m_Inner;
-  Heard m_Heard;
+  ReportObserver m_Observer;
 };
 
 } // namespace havenstair
--- a/packages/gateway/process/OrderGiver.cpp
+++ b/packages/gateway/process/OrderLeader.cpp
@@ -1,4 +1,4 @@
-#include "gateway/process/OrderGiver.h"
+#include "gateway/process/OrderLeader.h"
 
 #include "gateway/common/DecisionLog.h"
 #include "wire/common/Json.h"
@@ -11,168 +11,170 @@
 namespace {
 
 /// While orders are given, while they may have to be, and otherwise.
-constexpr Duration TickEvery = 50ms;
-constexpr Duration StandbyTickEvery = 150ms;
-constexpr Duration IdleTickEvery = 1s;
-constexpr Duration PlanEvery = 200ms;
+constexpr Duration TickInterval = 50ms;
+constexpr Duration StandbyTickInterval = 150ms;
+constexpr Duration IdleTickInterval = 1s;
+constexpr Duration PlanInterval = 200ms;
 /// After a plan, this many times what it took passes before the next: plans of
 /// a large fleet would leave no time for anything else.
-constexpr int RestAfterPlan = 5;
+constexpr int PlanPauseFactor = 5;
 
 /// Time for all boxes to hear that a model retires.
-constexpr Duration RetireFor = 120ms;
+constexpr Duration RetireNotice = 120ms;
 
 /// How long requests are believed to wait for a missing model.
-constexpr Duration MissingCounts = 5s;
+constexpr Duration MissingRetention = 5s;
 
 /// Added to the time between the orders of two order givers.
-constexpr Duration TurnMargin = 300ms;
+constexpr Duration HandoverMargin = 300ms;
 
-constexpr Duration ReportEvery = 120ms;
+constexpr Duration ReportInterval = 120ms;
 /// Reports that are under way at one time. An answer takes some milliseconds,
 /// and a box that is asked for thousands at once does nothing else.
-constexpr std::size_t MostReportsAsked = 64;
-constexpr Duration ReportAfterFailure = 400ms;
-constexpr Duration UnloadTakes = 60ms;
+constexpr std::size_t MaxPendingReports = 64;
+constexpr Duration ReportRetryDelay = 400ms;
+constexpr Duration UnloadTime = 60ms;
 
 /// No plan is made while engines return to the list or the list is read for the
 /// first time, since their models seem missing.
-constexpr Duration SettleFor = 1300ms;
+constexpr Duration SettleTime = 1300ms;
 
 /// A model that cannot be unloaded in this time stays.
-constexpr Duration UnloadWithin = 6s;
+constexpr Duration UnloadTimeout = 6s;
 
 /// A move whose engine takes no order in this time is planned anew.
-constexpr Duration BeginWithin = 1500ms;
+constexpr Duration BeginTimeout = 1500ms;
 
 /// Most moves that one plan begins.
-constexpr std::size_t MostMoves = 6;
+constexpr std::size_t MaxMovesPerPlan = 6;
 
 /// A holder that is replaced hears of it within this.
-constexpr Duration LastOrderOfOther = 700ms;
+constexpr Duration DeposedNoticeDelay = 700ms;
 
 /// Engines tell of themselves as they were up to this long ago.
-constexpr Duration ReportLag = 300ms;
+constexpr Duration MaxReportLag = 300ms;
 
 /// An order that an engine took before it was delisted may begin until then.
-constexpr Duration OrderOutlivesEntry = 5s;
+constexpr Duration DelistedOrderLife = 5s;
 
 /// An order may be carried out this long after it was sent.
 constexpr Duration OrderLife = EngineLedger::Options{}.m_OrderLife;
 
 /// Usual work a second, in ms, that each replica of a model beyond the first
 /// tells of: a third of an engine, at which engines are comfortable.
-constexpr double SpareReplicaTellsMs = 300;
+constexpr double SpareReplicaWorkMs = 300;
 
 } // namespace
 
-OrderGiver::OrderGiver(EventLoop &Loop, CoordinationStore &Store,
-                       EngineControl &Engines, ServingState &State,
-                       DecisionLog &Log, Options Opts, Hooks Callbacks)
+OrderLeader::OrderLeader(EventLoop &Loop, CoordinationStore &Store,
+                         EngineControl &Engines, ServingState &State,
+                         DecisionLog &Log, Options Opts, Hooks Callbacks)
     : m_Loop(Loop), m_Control(Engines), m_State(State), m_Log(Log),
       m_Opts(std::move(Opts)), m_Hooks(std::move(Callbacks)),
       m_Rates(m_Opts.m_Rates),
-      m_Claim(Store, Log, m_Opts.m_Claim,
-              {.m_Taken =
-                   [this](const HolderClaim::Former &Before) { taken(Before); },
-               .m_Lost = [this] { lost(); },
-               .m_Prepared = [this] { return m_State.knowsAll(); },
-               .m_HolderRead = m_Hooks.m_HolderRead,
-               .m_Random = m_Hooks.m_Random}),
-      m_Shortage(Log) {
+      m_Election(Store, Log, m_Opts.m_Election,
+                 {.m_Elected =
+                      [this](const LeaderElection::Predecessor &Before) {
+                        onElected(Before);
+                      },
+                  .m_Lost = [this] { onDeposed(); },
+                  .m_Prepared = [this] { return m_State.hasRequiredState(); },
+                  .m_KeysReadAt = m_Hooks.m_KeysReadAt,
+                  .m_Random = m_Hooks.m_Random}),
+      m_ShortageLog(Log) {
   tickLater();
 }
 
-void OrderGiver::tickLater() {
-  const Duration Away = giving()             ? TickEvery
-                        : m_Claim.eligible() ? StandbyTickEvery
-                                             : IdleTickEvery;
+void OrderLeader::tickLater() {
+  const Duration Away = leading()               ? TickInterval
+                        : m_Election.eligible() ? StandbyTickInterval
+                                                : IdleTickInterval;
   m_Timer = m_Loop.after(Away, [this] {
     tick();
     tickLater();
   });
 }
 
-OrderGiver::~OrderGiver() = default;
+OrderLeader::~OrderLeader() = default;
 
-void OrderGiver::setBounds(const ServingBounds &Bounds) {
+void OrderLeader::setBounds(const ServingBounds &Bounds) {
   m_Opts.m_Bounds = Bounds;
 }
 
-void OrderGiver::setVoters(std::set<BoxName> Others, bool Eligible) {
-  const bool Before = m_Claim.eligible();
-  m_Claim.setVoters(std::move(Others), Eligible);
+void OrderLeader::setVoters(std::set<BoxName> Others, bool Eligible) {
+  const bool Before = m_Election.eligible();
+  m_Election.setVoters(std::move(Others), Eligible);
   if (Before != Eligible)
     tickLater();
 }
 
-void OrderGiver::taken(const HolderClaim::Former &Before) {
+void OrderLeader::onElected(const LeaderElection::Predecessor &Before) {
   const TimePoint Now = EventLoop::now();
   const bool Own = Before.m_SameMachine;
   tickLater();
-  m_MayOrderFrom = Before.m_None || Own
-                       ? Now
-                       : Now + m_Opts.m_Bounds.m_OrderTurn + TurnMargin;
+  m_EarliestOrder = Before.m_None || Own
+                        ? Now
+                        : Now + m_Opts.m_Bounds.m_OrderTurn + HandoverMargin;
   m_Engines.clear();
-  m_Gone.clear();
+  m_DelistedEngines.clear();
   m_ClaimedAt = Now;
   m_Ceiling = LoadCeiling();
-  m_Expected = false;
+  m_DemandSeeded = false;
   // Nobody tells the holder before that it is one no more at once.
-  const TimePoint LastOrder = Own ? Now : Now + LastOrderOfOther;
-  m_FormerOrdersUntil = Before.m_None ? Now : LastOrder + ReportLag;
+  const TimePoint LastOrder = Own ? Now : Now + DeposedNoticeDelay;
+  m_PredecessorOrdersUntil = Before.m_None ? Now : LastOrder + MaxReportLag;
   if (!Before.m_None)
     m_Ceiling.takeOver(LastOrder);
-  m_Log.write("giver", {{"token", m_Claim.token()},
-                        {"before", Before.m_Holder},
-                        {"orders_in_ms", (m_MayOrderFrom - Now) / 1ms}});
+  m_Log.write("giver", {{"token", m_Election.token()},
+                        {"before", Before.m_Machine},
+                        {"orders_in_ms", (m_EarliestOrder - Now) / 1ms}});
 }
 
-void OrderGiver::lost() {
+void OrderLeader::onDeposed() {
   m_Engines.clear();
-  m_Log.write("giver_lost", {{"token", m_Claim.token()}});
+  m_Log.write("giver_lost", {{"token", m_Election.token()}});
 }
 
-void OrderGiver::leave() {
-  m_Left = true;
-  m_Claim.release();
+void OrderLeader::resign() {
+  m_Resigned = true;
+  m_Election.release();
 }
 
-bool OrderGiver::mayOrder(TimePoint Now) const {
-  return Now >= m_MayOrderFrom && m_Claim.sure(Now);
+bool OrderLeader::mayOrder(TimePoint Now) const {
+  return Now >= m_EarliestOrder && m_Election.confirmed(Now);
 }
 
-const EngineSpec *OrderGiver::specOf(const std::string &Service) const {
+const EngineSpec *OrderLeader::specOf(const std::string &Service) const {
   const ServiceSpec *Found =
       m_State.m_Config ? m_State.m_Config->service(Service) : nullptr;
   return Found != nullptr && Found->m_Engine ? &*Found->m_Engine : nullptr;
 }
 
-void OrderGiver::demanded(const ModelDemands &Demand) {
+void OrderLeader::addDemand(const ModelDemands &Demand) {
   const TimePoint Now = EventLoop::now();
   for (const auto &[Key, Each] : Demand)
     m_Rates.add(Key, Each, Now);
 }
 
-void OrderGiver::missing(const std::vector<ModelKey> &Keys) {
+void OrderLeader::addMissing(const std::vector<ModelKey> &Keys) {
   const TimePoint Now = EventLoop::now();
   for (const ModelKey &Key : Keys)
-    m_Missing.try_emplace(Key, Wanted{.m_Since = Now}).first->second.m_Last =
-        Now;
-  if (giving())
+    m_Missing.try_emplace(Key, MissingKey{.m_Since = Now})
+        .first->second.m_Last = Now;
+  if (leading())
     tickSoon(true);
 }
 
 /// In the next pass of the loop, once for all that ask for it by then, or as
 /// soon as a plan may be made when one is wanted.
-void OrderGiver::tickSoon(bool Plan) {
+void OrderLeader::tickSoon(bool Plan) {
   TimePoint At = EventLoop::now();
   if (Plan) {
     // A whole plan may take long in a large fleet. What requests wait for is
     // planned by itself meanwhile.
-    m_NextPlan = std::max(At, m_PlanFrom);
-    m_AwaitedSoon = true;
-    At = std::max(At, std::min(m_PlanFrom, m_AwaitedFrom));
+    m_NextPlan = std::max(At, m_EarliestPlan);
+    m_AwaitedPlanDue = true;
+    At = std::max(At, std::min(m_EarliestPlan, m_EarliestAwaitedPlan));
   }
   if (std::exchange(m_TickSoon, true))
     return;
@@ -182,22 +184,22 @@
   });
 }
 
-void OrderGiver::upstreamsChanged() {
-  if (giving())
+void OrderLeader::upstreamsChanged() {
+  if (leading())
     refreshEngines(EventLoop::now());
 }
 
-void OrderGiver::evacuationsChanged(TimePoint Now) {
-  if (!giving())
+void OrderLeader::evacuationsChanged(TimePoint Now) {
+  if (!leading())
     return;
   refreshEngines(Now);
-  keepCopiesOfReturned(Now);
+  keepCopiesAfterReturn(Now);
   tickSoon(true);
 }
 
 /// Models that were brought elsewhere during an evacuation stay there until the
 /// return has held: the engines that come back may be cold.
-void OrderGiver::keepCopiesOfReturned(TimePoint Now) {
+void OrderLeader::keepCopiesAfterReturn(TimePoint Now) {
   const ServingView &View = m_State.m_Upstreams;
   const auto Returned = [&](const InstanceId &Id) {
     return View.returnedAt(entryOf(Id)) == Now;
@@ -209,40 +211,40 @@
         Models.insert(Model.m_Name);
   for (auto &[Id, Each] : m_Engines)
     if (!Returned(Id))
-      Each.keep(Models, Now + SettleFor);
+      Each.keepModels(Models, Now + SettleTime);
 }
 
-void OrderGiver::tick() {
+void OrderLeader::tick() {
   const TimePoint Now = EventLoop::now();
-  if (m_Left)
+  if (m_Resigned)
     return;
-  m_Claim.tick(Now);
-  if (!giving())
+  m_Election.tick(Now);
+  if (!leading())
     return;
   refreshEngines(Now);
   askReports(Now);
   advanceTasks(Now);
   if (Now >= m_NextPlan) {
     plan(Now);
-    m_PlanFrom = Now + RestAfterPlan * (EventLoop::now() - Now);
-    m_NextPlan = std::max(m_PlanFrom, Now + PlanEvery);
-    m_AwaitedSoon = false;
-  } else if (m_AwaitedSoon && Now >= m_AwaitedFrom) {
-    m_AwaitedSoon = false;
+    m_EarliestPlan = Now + PlanPauseFactor * (EventLoop::now() - Now);
+    m_NextPlan = std::max(m_EarliestPlan, Now + PlanInterval);
+    m_AwaitedPlanDue = false;
+  } else if (m_AwaitedPlanDue && Now >= m_EarliestAwaitedPlan) {
+    m_AwaitedPlanDue = false;
     planAwaited(Now);
-    m_AwaitedFrom = Now + RestAfterPlan * (EventLoop::now() - Now);
+    m_EarliestAwaitedPlan = Now + PlanPauseFactor * (EventLoop::now() - Now);
   }
-  tellChanges();
+  publishChanges();
 }
 
-void OrderGiver::refreshEngines(TimePoint Now) {
+void OrderLeader::refreshEngines(TimePoint Now) {
   std::erase_if(m_Engines, [&](auto &Each) {
     const auto &Listed = m_State.m_Upstreams.list().m_Instances;
     const auto Entry = Listed.find(Each.first);
     if (Entry != Listed.end() && specOf(Entry->second.m_Service) != nullptr)
       return false;
-    m_Ceiling.settled(Each.first, Now + OrderOutlivesEntry);
-    m_Gone[Each.first] = Each.second.m_Ledger.lateWithCall(Now);
+    m_Ceiling.settled(Each.first, Now + DelistedOrderLife);
+    m_DelistedEngines[Each.first] = Each.second.m_Ledger.lateWithCall(Now);
     return true;
   });
   for (const auto &[Id, Entry] : m_State.m_Upstreams.list().m_Instances) {
@@ -252,15 +254,15 @@
     ManagedEngine &Known = Place->second;
     // One that starts is empty. One that returns to the list, as all may do
     // after an outage of the store, brings models that seemed missing.
-    const auto Before = m_Gone.extract(Id);
-    if (New && (Before || Now - m_ClaimedAt < SettleFor))
-      m_GrewAt = Now;
+    const auto Before = m_DelistedEngines.extract(Id);
+    if (New && (Before || Now - m_ClaimedAt < SettleTime))
+      m_EnginesAddedAt = Now;
     if (Before) {
       Known.m_Ledger.setLate(Before.mapped());
       Known.m_Ledger.passTime(Now);
     }
     const auto AgainAt = m_State.m_Upstreams.startedAgainAt(Id);
-    const bool Again = Known.startedAgain(Entry.m_Born, Now);
+    const bool Again = Known.recordStart(Entry.m_Born, Now);
     if (Again || (New && AgainAt && Now - *AgainAt <= OrderLife))
       countLateOrders(Id, Known, Now);
     // The first word is the engine's own: the list lags behind it.
@@ -273,88 +275,88 @@
 
 /// Orders to the former start of an engine may still be carried out by this
 /// one.
-void OrderGiver::countLateOrders(const InstanceId &Id, ManagedEngine &Of,
-                                 TimePoint Now) {
-  const std::size_t Loads = Of.m_Ledger.late().modelLoads();
+void OrderLeader::countLateOrders(const InstanceId &Id, ManagedEngine &Engine,
+                                  TimePoint Now) {
+  const std::size_t Loads = Engine.m_Ledger.late().modelLoads();
   m_Ceiling.settled(Id, Now);
   m_Ceiling.mayBegin(Loads, Now + OrderLife);
   // Those of the holder before this one are not known.
-  const TimePoint FormerLate = m_FormerOrdersUntil + OrderLife;
-  const bool Held = m_FormerOrdersUntil > m_ClaimedAt && Now < FormerLate;
+  const TimePoint FormerLate = m_PredecessorOrdersUntil + OrderLife;
+  const bool Held = m_PredecessorOrdersUntil > m_ClaimedAt && Now < FormerLate;
   if (Held)
-    Of.m_Ledger.holdUntil(FormerLate);
+    Engine.m_Ledger.holdUntil(FormerLate);
   m_Log.write("engine_again", {{"engine", Id},
-                               {"born", Of.m_Born},
+                               {"born", Engine.m_Born},
                                {"late_loads", Loads},
                                {"held", Held}});
 }
 
-void OrderGiver::askReports(TimePoint Now) {
+void OrderLeader::askReports(TimePoint Now) {
   // What an engine says before the former holder's last order may change.
-  if (Now < m_FormerOrdersUntil)
+  if (Now < m_PredecessorOrdersUntil)
     return;
   auto Asked = static_cast<std::size_t>(
       std::count_if(m_Engines.begin(), m_Engines.end(), [](const auto &Each) {
-        return Each.second.m_ReportAsked;
+        return Each.second.m_ReportPending;
       }));
   // Engines that are under way first: those that are not known yet only hold
   // up what might be planned there.
   for (const bool Known : {true, false})
     for (auto &[Id, Each] : m_Engines) {
       const EngineLedger &Ledger = Each.m_Ledger;
-      const bool Due = Ledger.known() == Known && !Each.m_ReportAsked &&
+      const bool Due = Ledger.known() == Known && !Each.m_ReportPending &&
                        Ledger.needsReport() && !Ledger.waitsForAnswer() &&
                        Now >= Each.m_NextReport;
-      if (!Due || Asked >= MostReportsAsked)
+      if (!Due || Asked >= MaxPendingReports)
         continue;
       ++Asked;
       askReport(Id, Each, Now);
     }
 }
 
-void OrderGiver::askReport(const InstanceId &Id, ManagedEngine &Of,
-                           TimePoint Now) {
+void OrderLeader::askReport(const InstanceId &Id, ManagedEngine &Engine,
+                            TimePoint Now) {
   const auto Entry = m_State.m_Upstreams.list().m_Instances.find(Id);
   if (Entry == m_State.m_Upstreams.list().m_Instances.end())
     return;
-  Of.m_ReportAsked = true;
-  Of.m_NextReport = Now + ReportEvery;
+  Engine.m_ReportPending = true;
+  Engine.m_NextReport = Now + ReportInterval;
   m_Control.report(Entry->second,
-                   [this, Id, Token = m_Claim.token(),
+                   [this, Id, Token = m_Election.token(),
                     Now](const std::optional<ResidencyReport> &Report) {
-                     if (giving() && Token == m_Claim.token())
-                       heard(Id, Report, Now);
+                     if (leading() && Token == m_Election.token())
+                       onReport(Id, Report, Now);
                    });
 }
 
-void OrderGiver::heard(const InstanceId &Id,
-                       const std::optional<ResidencyReport> &Report,
-                       TimePoint AskedAt) {
+void OrderLeader::onReport(const InstanceId &Id,
+                           const std::optional<ResidencyReport> &Report,
+                           TimePoint AskedAt) {
   const auto Found = m_Engines.find(Id);
   if (Found == m_Engines.end())
     return;
-  ManagedEngine &Of = Found->second;
+  ManagedEngine &Engine = Found->second;
   const TimePoint Now = EventLoop::now();
-  Of.m_ReportAsked = false;
+  Engine.m_ReportPending = false;
   if (!Report) {
-    Of.m_NextReport = Now + ReportAfterFailure;
+    Engine.m_NextReport = Now + ReportRetryDelay;
     return;
   }
-  if (Of.startedAgain(Report->m_Born, Now))
-    countLateOrders(Id, Of, Now);
-  if (!Of.present(Report->m_Born))
+  if (Engine.recordStart(Report->m_Born, Now))
+    countLateOrders(Id, Engine, Now);
+  if (!Engine.isCurrent(Report->m_Born))
     return;
-  if (Of.heard(*Report, Now, AskedAt))
-    countLateOrders(Id, Of, Now);
-  settleLoad(Id, Of, Now);
+  if (Engine.recordReport(*Report, Now, AskedAt))
+    countLateOrders(Id, Engine, Now);
+  settleLoad(Id, Engine, Now);
   if (const auto Entry = m_State.m_Upstreams.list().m_Instances.find(Id);
       Entry != m_State.m_Upstreams.list().m_Instances.end())
     if (const EngineSpec *Spec = specOf(Entry->second.m_Service))
-      advance(Id, Of, *Spec, Now);
-  tellChange(Id, Of);
+      advance(Id, Engine, *Spec, Now);
+  publishChange(Id, Engine);
 }
 
-void OrderGiver::advanceTasks(TimePoint Now) {
+void OrderLeader::advanceTasks(TimePoint Now) {
   for (auto &[Id, Each] : m_Engines) {
     const auto Entry = m_State.m_Upstreams.list().m_Instances.find(Id);
     if (Entry == m_State.m_Upstreams.list().m_Instances.end())
@@ -366,69 +368,71 @@
   }
 }
 
-void OrderGiver::advance(const InstanceId &Id, ManagedEngine &Of,
-                         const EngineSpec &Spec, TimePoint Now) {
-  if (const auto Again = Of.m_Ledger.resend(Now)) {
-    give(Id, Of, *Again, LoadSource::Disk, Now);
+void OrderLeader::advance(const InstanceId &Id, ManagedEngine &Engine,
+                          const EngineSpec &Spec, TimePoint Now) {
+  if (const auto Again = Engine.m_Ledger.resend(Now)) {
+    sendOrder(Id, Engine, *Again, LoadSource::Disk, Now);
     return;
   }
   const bool Unloading =
-      Of.m_Task && Of.m_Task->m_Phase != EngineTask::Phase::Loading;
-  if (Unloading && !Of.m_Ledger.modelOrder() &&
-      Now - Of.m_Task->m_Since > UnloadWithin)
-    Of.m_Task.reset();
-  if (!Of.m_Task)
+      Engine.m_Task && Engine.m_Task->m_Phase != EngineTask::Phase::Loading;
+  if (Unloading && !Engine.m_Ledger.modelOrder() &&
+      Now - Engine.m_Task->m_Since > UnloadTimeout)
+    Engine.m_Task.reset();
+  if (!Engine.m_Task)
     return;
-  if (!Of.m_Ledger.idle()) {
+  if (!Engine.m_Ledger.idle()) {
     // Counted as a replica that comes, it would keep others from being loaded.
-    if (!Of.m_Ledger.modelOrder() && Now - Of.m_Task->m_Since > BeginWithin)
-      Of.m_Task.reset();
+    if (!Engine.m_Ledger.modelOrder() &&
+        Now - Engine.m_Task->m_Since > BeginTimeout)
+      Engine.m_Task.reset();
     return;
   }
-  EngineTask &Current = *Of.m_Task;
+  EngineTask &Current = *Engine.m_Task;
   const PlannedMove &Move = Current.m_Move;
   if (Current.m_Phase == EngineTask::Phase::Retiring) {
-    if (Now - Current.m_Since < RetireFor)
+    if (Now - Current.m_Since < RetireNotice)
       return;
     Current.m_Phase = EngineTask::Phase::Unloading;
     Current.m_Since = Now;
   }
   if (Current.m_Phase == EngineTask::Phase::Unloading) {
-    if (Of.m_Ledger.holds(Move.m_Evict)) {
-      give(Id, Of, {.m_Load = false, .m_Model = Move.m_Evict, .m_Adapter = {}},
-           LoadSource::Disk, Now);
+    if (Engine.m_Ledger.holds(Move.m_Evict)) {
+      sendOrder(Id, Engine,
+                {.m_Load = false, .m_Model = Move.m_Evict, .m_Adapter = {}},
+                LoadSource::Disk, Now);
       return;
     }
     Current.m_Phase = EngineTask::Phase::Loading;
     Current.m_Since = Now;
   }
   if (Move.m_Load.empty()) {
-    Of.m_Task.reset();
+    Engine.m_Task.reset();
     return;
   }
-  if (Of.m_Ledger.holds(Move.m_Load)) {
-    Of.m_ModelAt[Move.m_Load] = Now;
-    Of.m_Task.reset();
-    if (const auto Slowness = Of.loadEnded(Now))
+  if (Engine.m_Ledger.holds(Move.m_Load)) {
+    Engine.m_ModelLoadedAt[Move.m_Load] = Now;
+    Engine.m_Task.reset();
+    if (const auto Slowness = Engine.recordLoadEnd(Now))
       m_StoreSlowness.observe(*Slowness);
     return;
   }
-  const LoadSource Source =
-      nearestSource(Of.m_Ledger.inMemory(), Of.m_Ledger.onDisk(), Move.m_Load);
+  const LoadSource Source = nearestSource(
+      Engine.m_Ledger.inMemory(), Engine.m_Ledger.onDisk(), Move.m_Load);
   const ResidencyOrder Load{
       .m_Load = true, .m_Model = Move.m_Load, .m_Adapter = {}};
-  if (!Of.m_Ledger.allows(Load, Spec)) {
+  if (!Engine.m_Ledger.allows(Load, Spec)) {
     // What it holds is not what the plan was made from.
-    if (!Of.m_Ledger.needsReport())
-      Of.m_Task.reset();
+    if (!Engine.m_Ledger.needsReport())
+      Engine.m_Task.reset();
     return;
   }
-  give(Id, Of, Load, Source, Now);
+  sendOrder(Id, Engine, Load, Source, Now);
 }
 
-bool OrderGiver::give(const InstanceId &Id, ManagedEngine &To,
-                      const ResidencyOrder &Order, LoadSource Source,
-                      TimePoint) {
+bool OrderLeader::sendOrder(const InstanceId &Id, ManagedEngine &To,
+                            const ResidencyOrder &Order, LoadSource Source,
+                            TimePoint) {
   const auto Entry = m_State.m_Upstreams.list().m_Instances.find(Id);
   const TimePoint Now = EventLoop::now();
   if (Entry == m_State.m_Upstreams.list().m_Instances.end() || !mayOrder(Now))
@@ -445,8 +449,8 @@
       return false;
     m_Ceiling.ordered(Id);
   }
-  const OrderStamp Stamp{.m_Holder = m_Opts.m_Claim.m_Holder,
-                         .m_FencingToken = m_Claim.token(),
+  const OrderStamp Stamp{.m_Holder = m_Opts.m_Election.m_Machine,
+                         .m_FencingToken = m_Election.token(),
                          .m_ExpectedCount = To.m_Ledger.begin(Order, Now)};
   m_Log.write("order",
               {{"engine", Id},
@@ -455,33 +459,33 @@
                {"adapter", Order.m_Adapter},
                {"source", sourceName(Source)},
                {"expected_count", Stamp.m_ExpectedCount},
-               {"token", m_Claim.token()},
+               {"token", m_Election.token()},
                {"reason",
                 To.m_Task ? reasonName(To.m_Task->m_Move.m_Reason) : "adapter"},
                {"gain", To.m_Task ? To.m_Task->m_Move.m_Gain : 0}});
   m_Control.order(Entry->second, Order, Stamp,
-                  [this, Id, Order, Source, Token = m_Claim.token(),
+                  [this, Id, Order, Source, Token = m_Election.token(),
                    Born = To.m_Born](OrderAnswer Answer) {
-                    if (giving() && Token == m_Claim.token())
-                      orderAnswered({.m_Id = Id, .m_Born = Born}, Order, Source,
-                                    Answer);
+                    if (leading() && Token == m_Election.token())
+                      onOrderAnswered({.m_Id = Id, .m_Born = Born}, Order,
+                                      Source, Answer);
                   });
   return true;
 }
 
 /// A load has begun, or never will, once the engine's word is in.
-void OrderGiver::settleLoad(const InstanceId &Id, const ManagedEngine &Of,
-                            TimePoint Now) {
-  if (!Of.m_Ledger.uncertain() && !Of.m_Ledger.waitsForAnswer())
+void OrderLeader::settleLoad(const InstanceId &Id, const ManagedEngine &Engine,
+                             TimePoint Now) {
+  if (!Engine.m_Ledger.uncertain() && !Engine.m_Ledger.waitsForAnswer())
     m_Ceiling.settled(Id, Now);
 }
 
-void OrderGiver::orderAnswered(const UpstreamLife &Engine,
-                               const ResidencyOrder &Order, LoadSource Source,
-                               OrderAnswer Answer) {
-  const InstanceId &Id = Engine.m_Id;
+void OrderLeader::onOrderAnswered(const UpstreamLife &Instance,
+                                  const ResidencyOrder &Order,
+                                  LoadSource Source, OrderAnswer Answer) {
+  const InstanceId &Id = Instance.m_Id;
   const TimePoint Now = EventLoop::now();
-  m_Hooks.m_Ordered(Order.m_Load ? "load" : "unload", answerName(Answer));
+  m_Hooks.m_OrderAnswered(Order.m_Load ? "load" : "unload", answerName(Answer));
   if (Answer != OrderAnswer::Accepted)
     m_Log.write("order_answer", {{"engine", Id},
                                  {"load", Order.m_Load},
@@ -490,13 +494,13 @@
                                  {"answer", answerName(Answer)}});
   const auto Found = m_Engines.find(Id);
   // Whatever a former start answered, the order counts as late.
-  if (Found == m_Engines.end() || !Found->second.present(Engine.m_Born))
+  if (Found == m_Engines.end() || !Found->second.isCurrent(Instance.m_Born))
     return;
-  ManagedEngine &Of = Found->second;
-  Of.m_Ledger.answered(Answer, Now);
+  ManagedEngine &Engine = Found->second;
+  Engine.m_Ledger.answered(Answer, Now);
   const bool ModelLoad = Order.m_Load && Order.m_Adapter.empty();
-  settleLoad(Id, Of, Now);
-  Of.m_NextReport = Now + UnloadTakes;
+  settleLoad(Id, Engine, Now);
+  Engine.m_NextReport = Now + UnloadTime;
   if (Answer == OrderAnswer::Accepted) {
     const auto Entry = m_State.m_Upstreams.list().m_Instances.find(Id);
     const EngineSpec *Spec =
@@ -505,25 +509,26 @@
             : specOf(Entry->second.m_Service);
     if (ModelLoad && Spec != nullptr) {
       const Duration Nominal = loadTime(Spec->model(Order.m_Model), Source);
-      Of.loadBegan(Source, Nominal, m_StoreSlowness.factor(), Now);
-      Of.m_NextReport = Now + Nominal;
+      Engine.recordLoadStart(Source, Nominal, m_StoreSlowness.factor(), Now);
+      Engine.m_NextReport = Now + Nominal;
     }
     if (!Order.m_Adapter.empty()) {
-      Of.m_AdapterAt[{Order.m_Model, Order.m_Adapter}] = Now;
-      Of.m_AdapterOrderAt = Now;
-      Of.m_NextReport = Now + ReportEvery;
+      Engine.m_AdapterOrderedAt[{Order.m_Model, Order.m_Adapter}] = Now;
+      Engine.m_LastAdapterOrderAt = Now;
+      Engine.m_NextReport = Now + ReportInterval;
     }
   }
   tickSoon(!Order.m_Adapter.empty());
 }
 
-bool OrderGiver::mayPlan(TimePoint Now) const {
+bool OrderLeader::mayPlan(TimePoint Now) const {
   // Engines that start together appear one after the other.
-  return mayOrder(Now) && m_State.knowsAll() && Now - m_GrewAt >= SettleFor;
+  return mayOrder(Now) && m_State.hasRequiredState() &&
+         Now - m_EnginesAddedAt >= SettleTime;
 }
 
 /// Adapters that requests wait for: they arrive in some milliseconds.
-void OrderGiver::planAwaited(TimePoint Now) {
+void OrderLeader::planAwaited(TimePoint Now) {
   if (!mayPlan(Now))
     return;
   AdapterOptions Awaited = m_Opts.m_Adapters;
@@ -533,15 +538,15 @@
       planAdapterMoves(Service.m_Name, *Service.m_Engine, Awaited, Now);
 }
 
-void OrderGiver::plan(TimePoint Now) {
+void OrderLeader::plan(TimePoint Now) {
   std::erase_if(m_Missing, [&](const auto &Each) {
-    return Now - Each.second.m_Last > MissingCounts ||
+    return Now - Each.second.m_Last > MissingRetention ||
            resident(Each.first.m_Model, Each.first.m_Adapter);
   });
   if (!mayPlan(Now))
     return;
-  countFormerLoads(Now);
-  expectByReplicas(Now);
+  countPredecessorLoads(Now);
+  seedDemandFromReplicas(Now);
   for (const ServiceSpec &Service : m_State.m_Config->m_Services)
     if (Service.m_Engine) {
       planModels(Service.m_Name, *Service.m_Engine, Now);
@@ -551,7 +556,7 @@
 }
 
 std::map<AdapterKey, double>
-OrderGiver::adapterRates(const std::string &Service, TimePoint Now) const {
+OrderLeader::adapterRates(const std::string &Service, TimePoint Now) const {
   std::map<AdapterKey, double> Result;
   for (const auto &[Key, Rate] : m_Rates.rates(Now))
     if (Key.m_Service == Service && !Key.m_Adapter.empty())
@@ -561,8 +566,8 @@
 
 /// Before demand is known, replicas beyond the first tell of it: whoever placed
 /// them, the operators or another order giver, expected it there.
-void OrderGiver::expectByReplicas(TimePoint Now) {
-  if (std::exchange(m_Expected, true))
+void OrderLeader::seedDemandFromReplicas(TimePoint Now) {
+  if (std::exchange(m_DemandSeeded, true))
     return;
   std::map<ModelKey, std::size_t> Replicas;
   for (const auto &[Id, Each] : m_Engines) {
@@ -575,32 +580,32 @@
     if (Count > 1)
       m_Rates.expect(
           Key,
-          {.m_WorkMs = SpareReplicaTellsMs * static_cast<double>(Count - 1)},
+          {.m_WorkMs = SpareReplicaWorkMs * static_cast<double>(Count - 1)},
           Now);
 }
 
 /// A load from the store that takes longer than the window of their bound is
 /// still under way at its end: once all engines have spoken, those under way
 /// are all that count of the former holder's.
-void OrderGiver::countFormerLoads(TimePoint Now) {
+void OrderLeader::countPredecessorLoads(TimePoint Now) {
   if (!m_Ceiling.takenOver())
     return;
   const auto Shortest = m_State.m_Config->shortestStoreLoad();
-  if (!Shortest ||
-      Now < m_FormerOrdersUntil + m_Opts.m_Bounds.m_CeilingWindow - *Shortest)
+  if (!Shortest || Now < m_PredecessorOrdersUntil +
+                             m_Opts.m_Bounds.m_CeilingWindow - *Shortest)
     return;
-  const auto UnderWay = static_cast<std::size_t>(
+  const auto InProgress = static_cast<std::size_t>(
       std::count_if(m_Engines.begin(), m_Engines.end(), [](const auto &Each) {
         const EngineLedger &Ledger = Each.second.m_Ledger;
         return !Ledger.known() || Ledger.modelOrder();
       }));
-  m_Ceiling.formerLoads(UnderWay, Now);
+  m_Ceiling.formerLoads(InProgress, Now);
   m_Log.write("former_loads",
-              {{"under_way", UnderWay}, {"engines", m_Engines.size()}});
+              {{"under_way", InProgress}, {"engines", m_Engines.size()}});
 }
 
-PlannerInput OrderGiver::plannerInput(const std::string &Service,
-                                      TimePoint Now) {
+PlannerInput OrderLeader::plannerInput(const std::string &Service,
+                                       TimePoint Now) {
   PlannerInput Input;
   Input.m_StoreLoads = m_Ceiling.left(Now);
   Input.m_StoreSlowness = m_StoreSlowness.factor();
@@ -625,21 +630,21 @@
         Limit != nullptr && All.m_Requests > 0)
       Slowness /= workingPart(Limit->m_PerS, All.m_WorkMs / All.m_Requests);
     Input.m_Engines.push_back(
-        Each.forModels(Entry, Slowness, m_Opts.m_ReplicaStays, Now));
+        Each.modelPlanEntry(Entry, Slowness, m_Opts.m_MinReplicaStay, Now));
     Input.m_Engines.back().m_Leaving = m_State.m_Upstreams.leaves(Entry);
   }
   return Input;
 }
 
-void OrderGiver::planModels(const std::string &Service, const EngineSpec &Spec,
-                            TimePoint Now) {
+void OrderLeader::planModels(const std::string &Service, const EngineSpec &Spec,
+                             TimePoint Now) {
   m_Ceiling.configure({.m_LoadsPerS = Spec.m_LoadsPerS,
                        .m_Window = m_Opts.m_Bounds.m_CeilingWindow,
                        .m_Overage = m_Opts.m_Bounds.m_CeilingOverage});
   PlannerInput Input = plannerInput(Service, Now);
-  m_Shortage.tell(Input, replicas(), Now);
+  m_ShortageLog.log(Input, replicas(), Now);
   for (const PlannedMove &Move :
-       planReplicas(Input, Spec, m_Opts.m_Planner, MostMoves)) {
+       planReplicas(Input, Spec, m_Opts.m_Planner, MaxMovesPerPlan)) {
     ManagedEngine &At = m_Engines.at(Move.m_Engine);
     At.begin(Move, Now);
     m_Log.write(
@@ -658,7 +663,7 @@
 
 /// The part of its time that a replica of each model takes of an engine.
 std::map<std::string, double>
-OrderGiver::replicaShares(const std::string &Service, TimePoint Now) const {
+OrderLeader::replicaShares(const std::string &Service, TimePoint Now) const {
   std::map<std::string, double> Result;
   for (const auto &[Model, Count] : replicas()) {
     const ModelDemand Rate = m_Rates.rate({Service, Model, ""}, Now);
@@ -667,21 +672,21 @@
   return Result;
 }
 
-bool OrderGiver::evacuated(const InstanceId &Id) const {
+bool OrderLeader::evacuated(const InstanceId &Id) const {
   const ServingView &View = m_State.m_Upstreams;
   const auto Entry = View.list().m_Instances.find(Id);
   return Entry != View.list().m_Instances.end() &&
          View.evacuated(Entry->second);
 }
 
-bool OrderGiver::resident(const std::string &Model,
-                          const std::string &Adapter) const {
+bool OrderLeader::resident(const std::string &Model,
+                           const std::string &Adapter) const {
   return std::any_of(m_Engines.begin(), m_Engines.end(), [&](const auto &Each) {
     return Each.second.m_Ledger.holds(Model, Adapter) && !evacuated(Each.first);
   });
 }
 
-std::map<std::string, std::size_t> OrderGiver::replicas() const {
+std::map<std::string, std::size_t> OrderLeader::replicas() const {
   std::map<std::string, std::size_t> Result;
   for (const auto &[Id, Each] : m_Engines)
     if (!evacuated(Id))
@@ -690,9 +695,9 @@
   return Result;
 }
 
-void OrderGiver::planAdapterMoves(const std::string &Service,
-                                  const EngineSpec &Spec,
-                                  const AdapterOptions &Opts, TimePoint Now) {
+void OrderLeader::planAdapterMoves(const std::string &Service,
+                                   const EngineSpec &Spec,
+                                   const AdapterOptions &Opts, TimePoint Now) {
   const std::map<std::string, double> Shares = replicaShares(Service, Now);
   std::vector<AdapterEngine> Engines;
   for (const auto &[Id, Each] : m_Engines) {
@@ -703,7 +708,8 @@
     double Busy = 0;
     for (const ResidentModel &Model : Each.m_Ledger.models())
       Busy += Shares.at(Model.m_Name);
-    Engines.push_back(Each.forAdapters(Id, Busy, m_Opts.m_AdapterStays, Now));
+    Engines.push_back(
+        Each.adapterPlanEntry(Id, Busy, m_Opts.m_MinAdapterStay, Now));
   }
   std::vector<std::pair<TimePoint, AdapterKey>> Waiting;
   for (const auto &[Key, Since] : m_Missing)
@@ -715,48 +721,52 @@
     Missing.push_back(Key);
   for (const AdapterMove &Move :
        planAdapters(Engines, Missing, adapterRates(Service, Now), Spec, Opts))
-    give(Move.m_Engine, m_Engines.at(Move.m_Engine), Move.m_Order,
-         LoadSource::Disk, Now);
+    sendOrder(Move.m_Engine, m_Engines.at(Move.m_Engine), Move.m_Order,
+              LoadSource::Disk, Now);
 }
 
-FleetContentsFrame OrderGiver::contents() const {
-  FleetContentsFrame Frame{.m_FencingToken = m_Claim.token(), .m_Engines = {}};
+FleetContentsFrame OrderLeader::contents() const {
+  FleetContentsFrame Frame{.m_FencingToken = m_Election.token(),
+                           .m_Engines = {}};
   const TimePoint Now = EventLoop::now();
   for (const auto &[Id, Each] : m_Engines)
-    if (giving() && Each.m_Ledger.known() && Each.differsFrom(entryOf(Id), Now))
+    if (leading() && Each.m_Ledger.known() &&
+        Each.differsFrom(entryOf(Id), Now))
       Frame.m_Engines.push_back(Each.contents(Id, Now));
   return Frame;
 }
 
 /// Engines that are not listed are not kept.
-const UpstreamInstance &OrderGiver::entryOf(const InstanceId &Id) const {
+const UpstreamInstance &OrderLeader::entryOf(const InstanceId &Id) const {
   return m_State.m_Upstreams.list().m_Instances.at(Id);
 }
 
-void OrderGiver::takeNews(const InstanceId &Id, ManagedEngine &Of,
-                          TimePoint Now, FleetContentsFrame &Frame) {
-  if (!Of.m_Ledger.known())
+void OrderLeader::takeUpdate(const InstanceId &Id, ManagedEngine &Engine,
+                             TimePoint Now, FleetContentsFrame &Frame) {
+  if (!Engine.m_Ledger.known())
     return;
-  if (auto News = Of.takeNews(entryOf(Id), Now))
+  if (auto News = Engine.takeUpdate(entryOf(Id), Now))
     Frame.m_Engines.push_back(std::move(*News));
 }
 
-void OrderGiver::tellChanges() {
+void OrderLeader::publishChanges() {
   const TimePoint Now = EventLoop::now();
-  FleetContentsFrame Frame{.m_FencingToken = m_Claim.token(), .m_Engines = {}};
+  FleetContentsFrame Frame{.m_FencingToken = m_Election.token(),
+                           .m_Engines = {}};
   for (auto &[Id, Each] : m_Engines)
-    takeNews(Id, Each, Now, Frame);
+    takeUpdate(Id, Each, Now, Frame);
   if (!Frame.m_Engines.empty())
-    m_Hooks.m_Contents(Frame);
+    m_Hooks.m_ContentsChanged(Frame);
 }
 
 /// Reports come by the hundred: were all engines looked at for each, a box
 /// would do nothing else as it takes over.
-void OrderGiver::tellChange(const InstanceId &Id, ManagedEngine &Of) {
-  FleetContentsFrame Frame{.m_FencingToken = m_Claim.token(), .m_Engines = {}};
-  takeNews(Id, Of, EventLoop::now(), Frame);
+void OrderLeader::publishChange(const InstanceId &Id, ManagedEngine &Engine) {
+  FleetContentsFrame Frame{.m_FencingToken = m_Election.token(),
+                           .m_Engines = {}};
+  takeUpdate(Id, Engine, EventLoop::now(), Frame);
   if (!Frame.m_Engines.empty())
-    m_Hooks.m_Contents(Frame);
+    m_Hooks.m_ContentsChanged(Frame);
 }
 
 } // namespace havenstair
--- a/packages/gateway/process/OrderGiver.h
+++ b/packages/gateway/process/OrderLeader.h
@@ -1,7 +1,7 @@
 /// \file
 /// Gives orders to all engines, on one box at a time.
-#ifndef HAVENSTAIR_GATEWAY_PROCESS_ORDERGIVER_H
-#define HAVENSTAIR_GATEWAY_PROCESS_ORDERGIVER_H
+#ifndef HAVENSTAIR_GATEWAY_PROCESS_ORDERLEADER_H
+#define HAVENSTAIR_GATEWAY_PROCESS_ORDERLEADER_H
 
 #include "decisions/process/DemandRates.h"
 #include "decisions/process/LoadCeiling.h"
@@ -9,7 +9,7 @@
 #include "decisions/process/StoreSlowness.h"
 #include "gateway/process/EngineControl.h"
 #include "gateway/process/GatewayOptions.h"
-#include "gateway/process/HolderClaim.h"
+#include "gateway/process/LeaderElection.h"
 #include "gateway/process/ManagedEngine.h"
 #include "gateway/process/ServingState.h"
 #include "gateway/process/ShortageLog.h"
@@ -29,75 +29,75 @@
 /// While this box holds the order giver's key, plans replicas and adapters from
 /// demand and carries the plan out, one order at a time on each engine. See
 /// docs/design/orders.md.
-class OrderGiver {
+class OrderLeader {
 public:
   struct Options {
-    HolderClaim::Options m_Claim;
+    LeaderElection::Options m_Election;
     ServingBounds m_Bounds;
     PlannerOptions m_Planner;
     /// How long a replica stays at least, and an adapter.
-    Duration m_ReplicaStays = 6s;
-    Duration m_AdapterStays = 400ms;
+    Duration m_MinReplicaStay = 6s;
+    Duration m_MinAdapterStay = 400ms;
     AdapterOptions m_Adapters;
     DemandRates::Options m_Rates;
   };
   struct Hooks {
     /// Contents of engines changed; all boxes are to know.
-    std::function<void(const FleetContentsFrame &)> m_Contents;
+    std::function<void(const FleetContentsFrame &)> m_ContentsChanged;
     /// An order was answered; for metrics.
     std::function<void(std::string_view Operation, std::string_view Answer)>
-        m_Ordered;
+        m_OrderAnswered;
     /// When the store's keys, the holder's among them, were last read.
-    std::function<TimePoint()> m_HolderRead;
+    std::function<TimePoint()> m_KeysReadAt;
     std::function<double()> m_Random; ///< From 0 to 1.
   };
 
-  OrderGiver(EventLoop &Loop, CoordinationStore &Store, EngineControl &Engines,
-             ServingState &State, DecisionLog &Log, Options Opts,
-             Hooks Callbacks);
-  ~OrderGiver();
-  OrderGiver(const OrderGiver &) = delete;
-  OrderGiver &operator=(const OrderGiver &) = delete;
+  OrderLeader(EventLoop &Loop, CoordinationStore &Store, EngineControl &Engines,
+              ServingState &State, DecisionLog &Log, Options Opts,
+              Hooks Callbacks);
+  ~OrderLeader();
+  OrderLeader(const OrderLeader &) = delete;
+  OrderLeader &operator=(const OrderLeader &) = delete;
 
   /// The store's keys have changed; \p Items are those of the whole prefix.
   void entriesChanged(const std::map<std::string, StoreItem> &Items) {
-    m_Claim.entriesChanged(Items);
+    m_Election.entriesChanged(Items);
   }
   void upstreamsChanged();
   /// Data centres are evacuated, or were taken back at \p Now.
   void evacuationsChanged(TimePoint Now);
   /// Demand of this box or another one.
-  void demanded(const ModelDemands &Demand);
+  void addDemand(const ModelDemands &Demand);
   /// Requests wait for models that no engine holds.
-  void missing(const std::vector<ModelKey> &Keys);
+  void addMissing(const std::vector<ModelKey> &Keys);
   void setBounds(const ServingBounds &Bounds);
 
   /// Another box told whom it knows to give orders.
-  void heardHolder(const BoxName &From, const OrderHolder &Known, bool Giving,
-                   TimePoint SaidAfter) {
-    m_Claim.heardHolder(From, Known, Giving, SaidAfter);
+  void recordPeerView(const BoxName &From, const OrderHolder &Known,
+                      bool Giving, TimePoint SaidAfter) {
+    m_Election.recordPeerView(From, Known, Giving, SaidAfter);
   }
   /// The other boxes whose majority decides who gives orders, and whether this
   /// box may be that one.
   void setVoters(std::set<BoxName> Others, bool Eligible);
-  void boxLost(const BoxName &Box) { m_Claim.boxLost(Box); }
+  void boxLost(const BoxName &Box) { m_Election.boxLost(Box); }
 
   /// Whom this box knows to give orders.
-  const OrderHolder &holder() const { return m_Claim.holder(); }
-  bool giving() const { return m_Claim.taken(); }
+  const OrderHolder &leader() const { return m_Election.leader(); }
+  bool leading() const { return m_Election.leading(); }
   /// Contents of all engines, for a box that has just been linked.
   FleetContentsFrame contents() const;
   /// Gives the key up.
-  void leave();
+  void resign();
 
 private:
   /// A model or adapter that requests waited for.
-  struct Wanted {
+  struct MissingKey {
     TimePoint m_Since{};
     TimePoint m_Last{};
   };
-  void taken(const HolderClaim::Former &Before);
-  void lost();
+  void onElected(const LeaderElection::Predecessor &Before);
+  void onDeposed();
   void tick();
   void tickLater();
   void tickSoon(bool Plan);
@@ -105,20 +105,22 @@
 
   const EngineSpec *specOf(const std::string &Service) const;
   void refreshEngines(TimePoint Now);
-  void keepCopiesOfReturned(TimePoint Now);
-  void countLateOrders(const InstanceId &Id, ManagedEngine &Of, TimePoint Now);
+  void keepCopiesAfterReturn(TimePoint Now);
+  void countLateOrders(const InstanceId &Id, ManagedEngine &Engine,
+                       TimePoint Now);
   void askReports(TimePoint Now);
-  void askReport(const InstanceId &Id, ManagedEngine &Of, TimePoint Now);
-  void heard(const InstanceId &Id, const std::optional<ResidencyReport> &Report,
-             TimePoint AskedAt);
+  void askReport(const InstanceId &Id, ManagedEngine &Engine, TimePoint Now);
+  void onReport(const InstanceId &Id,
+                const std::optional<ResidencyReport> &Report,
+                TimePoint AskedAt);
   void advanceTasks(TimePoint Now);
-  void advance(const InstanceId &Id, ManagedEngine &Of, const EngineSpec &Spec,
-               TimePoint Now);
+  void advance(const InstanceId &Id, ManagedEngine &Engine,
+               const EngineSpec &Spec, TimePoint Now);
   bool mayPlan(TimePoint Now) const;
   void planAwaited(TimePoint Now);
   void plan(TimePoint Now);
-  void countFormerLoads(TimePoint Now);
-  void expectByReplicas(TimePoint Now);
+  void countPredecessorLoads(TimePoint Now);
+  void seedDemandFromReplicas(TimePoint Now);
   PlannerInput plannerInput(const std::string &Service, TimePoint Now);
   void planModels(const std::string &Service, const EngineSpec &Spec,
                   TimePoint Now);
@@ -126,16 +128,18 @@
                         const AdapterOptions &Opts, TimePoint Now);
   std::map<AdapterKey, double> adapterRates(const std::string &Service,
                                             TimePoint Now) const;
-  bool give(const InstanceId &Id, ManagedEngine &To,
-            const ResidencyOrder &Order, LoadSource Source, TimePoint Now);
-  void orderAnswered(const UpstreamLife &Engine, const ResidencyOrder &Order,
-                     LoadSource Source, OrderAnswer Answer);
-  void settleLoad(const InstanceId &Id, const ManagedEngine &Of, TimePoint Now);
+  bool sendOrder(const InstanceId &Id, ManagedEngine &To,
+                 const ResidencyOrder &Order, LoadSource Source, TimePoint Now);
+  void onOrderAnswered(const UpstreamLife &Instance,
+                       const ResidencyOrder &Order, LoadSource Source,
+                       OrderAnswer Answer);
+  void settleLoad(const InstanceId &Id, const ManagedEngine &Engine,
+                  TimePoint Now);
   const UpstreamInstance &entryOf(const InstanceId &Id) const;
-  void takeNews(const InstanceId &Id, ManagedEngine &Of, TimePoint Now,
-                FleetContentsFrame &Frame);
-  void tellChanges();
-  void tellChange(const InstanceId &Id, ManagedEngine &Of);
+  void takeUpdate(const InstanceId &Id, ManagedEngine &Engine, TimePoint Now,
+                  FleetContentsFrame &Frame);
+  void publishChanges();
+  void publishChange(const InstanceId &Id, ManagedEngine &Engine);
   std::map<std::string, double> replicaShares(const std::string &Service,
                                               TimePoint Now) const;
   bool evacuated(const InstanceId &Id) const;
@@ -150,25 +154,25 @@
   Options m_Opts;
   Hooks m_Hooks;
   DemandRates m_Rates;
-  HolderClaim m_Claim;
-  bool m_Left = false;
-  bool m_Expected = false; ///< Usual demand was told by replicas.
-  TimePoint m_MayOrderFrom{};
+  LeaderElection m_Election;
+  bool m_Resigned = false;
+  bool m_DemandSeeded = false; ///< Usual demand was told by replicas.
+  TimePoint m_EarliestOrder{};
   TimePoint m_NextPlan{};
-  TimePoint m_PlanFrom{};    ///< None before, whoever waits.
-  TimePoint m_AwaitedFrom{}; ///< The same for what requests wait for.
-  bool m_AwaitedSoon = false;
+  TimePoint m_EarliestPlan{};        ///< None before, whoever waits.
+  TimePoint m_EarliestAwaitedPlan{}; ///< The same for what requests wait for.
+  bool m_AwaitedPlanDue = false;
   TimePoint m_ClaimedAt{};
   /// Until when the holder before may have given orders.
-  TimePoint m_FormerOrdersUntil{};
+  TimePoint m_PredecessorOrdersUntil{};
   /// The last time engines came back, or were listed at the start.
-  TimePoint m_GrewAt{};
+  TimePoint m_EnginesAddedAt{};
   /// Engines that left the list, with what they may still carry out.
-  std::map<InstanceId, LateOrders> m_Gone;
+  std::map<InstanceId, LateOrders> m_DelistedEngines;
   std::map<InstanceId, ManagedEngine> m_Engines;
-  std::map<ModelKey, Wanted> m_Missing;
+  std::map<ModelKey, MissingKey> m_Missing;
   LoadCeiling m_Ceiling;
-  ShortageLog m_Shortage;
+  ShortageLog m_ShortageLog;
   StoreSlowness m_StoreSlowness;
   Timer m_Timer;
   Timer m_SoonTimer;
--- a/packages/gateway/process/ServingState.h
+++ b/packages/gateway/process/ServingState.h
@@ -61,7 +61,7 @@
     m_Loads.startedAgain(Id);
   }
 
-  void standsIn(const DataCentreName &Own, DataCentreMap Map) {
+  void setLocation(const DataCentreName &Own, DataCentreMap Map) {
     m_Zone = Own.str();
     m_DataCentres = std::move(Map);
   }
@@ -70,11 +70,11 @@
     return m_Config ? m_Config->m_Version : 0;
   }
   /// Whether what requests are sent by is known.
-  bool knowsAll() const {
+  bool hasRequiredState() const {
     return m_Config != nullptr && m_Upstreams.known() &&
            (!m_NeedsEvacuations || m_Upstreams.evacuations().m_Revision > 0);
   }
-  bool ready() const { return knowsAll() && !m_Stopping; }
+  bool ready() const { return hasRequiredState() && !m_Stopping; }
 };
 
 } // namespace havenstair
--- a/packages/gateway/process/ShortageLog.cpp
+++ b/packages/gateway/process/ShortageLog.cpp
@@ -9,14 +9,14 @@
 
 /// A model whose replicas have more than this to do each, in engines' worth,
 /// lacks replicas; it is logged this often.
-constexpr double ShortageFrom = 0.7;
-constexpr Duration ShortageLineEvery = 500ms;
+constexpr double MinShortageShare = 0.7;
+constexpr Duration LogInterval = 500ms;
 
 } // namespace
 
-void ShortageLog::tell(const PlannerInput &Input,
-                       const std::map<std::string, std::size_t> &Replicas,
-                       TimePoint Now) {
+void ShortageLog::log(const PlannerInput &Input,
+                      const std::map<std::string, std::size_t> &Replicas,
+                      TimePoint Now) {
   if (Now < m_NextLine)
     return;
   const auto Serving = [&](const std::string &Model) {
@@ -24,7 +24,7 @@
     return Found == Replicas.end() ? 0 : Found->second;
   };
   std::string Worst;
-  double WorstShare = ShortageFrom;
+  double WorstShare = MinShortageShare;
   for (const auto &[Model, Demand] : Input.m_Demand) {
     const auto Count =
         static_cast<double>(std::max<std::size_t>(1, Serving(Model)));
@@ -35,7 +35,7 @@
   }
   if (Worst.empty())
     return;
-  m_NextLine = Now + ShortageLineEvery;
+  m_NextLine = Now + LogInterval;
   const auto Movable =
       std::count_if(Input.m_Engines.begin(), Input.m_Engines.end(),
                     [](const PlannedEngine &Each) {
--- a/packages/gateway/process/ShortageLog.h
+++ b/packages/gateway/process/ShortageLog.h
@@ -18,8 +18,8 @@
   explicit ShortageLog(DecisionLog &Log) : m_Log(Log) {}
 
   /// \p Replicas: engines that hold each model.
-  void tell(const PlannerInput &Input,
-            const std::map<std::string, std::size_t> &Replicas, TimePoint Now);
+  void log(const PlannerInput &Input,
+           const std::map<std::string, std::size_t> &Replicas, TimePoint Now);
 
 private:
   DecisionLog &m_Log;
--- a/packages/gateway/process/StoreCallLog.cpp
+++ b/packages/gateway/process/StoreCallLog.cpp
@@ -8,14 +8,14 @@
 namespace {
 
 /// How often the calls to the store are logged, when there were any.
-constexpr Duration LogStoreCallsEvery = 10s;
+constexpr Duration LogInterval = 10s;
 
 } // namespace
 
 StoreCallLog::StoreCallLog(EventLoop &Loop, DecisionLog &Log,
                            std::function<Role()> RoleNow)
     : m_Log(Log), m_RoleNow(std::move(RoleNow)) {
-  m_Timer = Loop.every(LogStoreCallsEvery, [this] { write(); });
+  m_Timer = Loop.every(LogInterval, [this] { write(); });
 }
 
 void StoreCallLog::called(std::string_view Call, std::string_view Subject) {
@@ -30,7 +30,7 @@
     return;
   const Role Now = m_RoleNow();
   m_Log.write("store_calls", {{"relay", Now.m_Relay},
-                              {"giving", Now.m_Giving},
+                              {"giving", Now.m_Leading},
                               {"calls", std::exchange(m_Calls, {})}});
 }
 
--- a/packages/gateway/process/StoreCallLog.h
+++ b/packages/gateway/process/StoreCallLog.h
@@ -20,7 +20,7 @@
   /// What the box does, which its calls depend on.
   struct Role {
     bool m_Relay = false;
-    bool m_Giving = false; ///< Orders to engines.
+    bool m_Leading = false; ///< Orders to engines.
   };
 
   StoreCallLog(EventLoop &Loop, DecisionLog &Log,
--- a/packages/gateway/process/UpstreamRegistry.cpp
+++ b/packages/gateway/process/UpstreamRegistry.cpp
@@ -19,7 +19,7 @@
   Decoded Result{.m_Revision = Item.m_Revision, .m_Instance = {}};
   try {
     Result.m_Instance = m_Decode(Item.m_Key, Item.m_Value);
-    Result.m_Good = true;
+    Result.m_Valid = true;
   } catch (const DecodeError &Error) {
     m_Log.write("bad_upstream", {{"key", Item.m_Key}, {"why", Error.what()}});
   }
@@ -28,24 +28,24 @@
 
 /// Both are in the order of their keys; what is the same stays in its place.
 void UpstreamRegistry::update(const std::map<std::string, StoreItem> &Items) {
-  auto Known = m_Known.begin();
+  auto Known = m_Entries.begin();
   for (const auto &[Key, Item] : Items) {
-    while (Known != m_Known.end() && Known->first < Key)
-      Known = m_Known.erase(Known);
-    if (Known == m_Known.end() || Known->first != Key)
-      Known = m_Known.emplace_hint(Known, Key, decode(Item));
+    while (Known != m_Entries.end() && Known->first < Key)
+      Known = m_Entries.erase(Known);
+    if (Known == m_Entries.end() || Known->first != Key)
+      Known = m_Entries.emplace_hint(Known, Key, decode(Item));
     else if (Known->second.m_Revision != Item.m_Revision)
       Known->second = decode(Item);
     ++Known;
   }
-  m_Known.erase(Known, m_Known.end());
+  m_Entries.erase(Known, m_Entries.end());
 }
 
-std::vector<const UpstreamInstance *> UpstreamRegistry::good() const {
+std::vector<const UpstreamInstance *> UpstreamRegistry::validEntries() const {
   std::vector<const UpstreamInstance *> Result;
-  Result.reserve(m_Known.size());
-  for (const auto &[Key, Entry] : m_Known)
-    if (Entry.m_Good)
+  Result.reserve(m_Entries.size());
+  for (const auto &[Key, Entry] : m_Entries)
+    if (Entry.m_Valid)
       Result.push_back(&Entry.m_Instance);
   return Result;
 }
@@ -54,16 +54,16 @@
 UpstreamRegistry::read(const std::map<std::string, StoreItem> &Items,
                        StoreRevision Revision, const DataCentreMap &Map) {
   update(Items);
-  m_Shortlist = Shortlist(good(), Map);
-  return listOf(m_Shortlist.forAll(), Revision);
+  m_Subset = Shortlist(validEntries(), Map);
+  return listOf(m_Subset.forAll(), Revision);
 }
 
 InstanceList
-UpstreamRegistry::readShortlist(const std::map<std::string, StoreItem> &Items,
-                                StoreRevision Revision) {
-  m_Shortlist = Shortlist();
+UpstreamRegistry::readSubset(const std::map<std::string, StoreItem> &Items,
+                             StoreRevision Revision) {
+  m_Subset = Shortlist();
   update(Items);
-  return listOf(good(), Revision);
+  return listOf(validEntries(), Revision);
 }
 
 } // namespace havenstair
--- a/packages/gateway/process/UpstreamRegistry.h
+++ b/packages/gateway/process/UpstreamRegistry.h
@@ -29,29 +29,29 @@
   InstanceList read(const std::map<std::string, StoreItem> &Items,
                     StoreRevision Revision, const DataCentreMap &Map);
   /// The same for a list that is a shortlist; it has none of its own then.
-  InstanceList readShortlist(const std::map<std::string, StoreItem> &Items,
-                             StoreRevision Revision);
+  InstanceList readSubset(const std::map<std::string, StoreItem> &Items,
+                          StoreRevision Revision);
 
   /// Of the list that was last read.
-  const Shortlist &shortlist() const { return m_Shortlist; }
+  const Shortlist &subset() const { return m_Subset; }
   /// Entries of that list.
-  std::size_t size() const { return m_Known.size(); }
+  std::size_t size() const { return m_Entries.size(); }
 
 private:
   struct Decoded {
     StoreRevision m_Revision = 0;
     UpstreamInstance m_Instance;
-    bool m_Good = false;
+    bool m_Valid = false;
   };
 
   Decoded decode(const StoreItem &Item);
   void update(const std::map<std::string, StoreItem> &Items);
-  std::vector<const UpstreamInstance *> good() const;
+  std::vector<const UpstreamInstance *> validEntries() const;
 
   Decode m_Decode;
   DecisionLog &m_Log;
-  std::map<std::string, Decoded> m_Known; ///< By key.
-  Shortlist m_Shortlist;
+  std::map<std::string, Decoded> m_Entries; ///< By key.
+  Shortlist m_Subset;
 };
 
 } // namespace havenstair
--- a/packages/gateway/process/PrefixMirror.h
+++ b/packages/gateway/process/WatchCache.h
@@ -1,7 +1,7 @@
 /// \file
 /// A copy of all keys under one prefix of the store, kept by watching.
-#ifndef HAVENSTAIR_GATEWAY_PROCESS_PREFIXMIRROR_H
-#define HAVENSTAIR_GATEWAY_PROCESS_PREFIXMIRROR_H
+#ifndef HAVENSTAIR_GATEWAY_PROCESS_WATCHCACHE_H
+#define HAVENSTAIR_GATEWAY_PROCESS_WATCHCACHE_H
 
 #include "decisions/process/Backoff.h"
 #include "gateway/process/CoordinationStore.h"
@@ -26,24 +26,24 @@
 
 /// Reads the prefix, then watches it from there on. Reads anew when the store
 /// forgot the changes in between.
-class PrefixMirror {
+class WatchCache {
 public:
   /// How long a watch waits where a lost one would soon do harm.
-  static constexpr Duration CloseWait = 900ms;
+  static constexpr Duration ShortWait = 900ms;
 
   struct Options {
     std::string m_Prefix;
-    Duration m_Wait = CloseWait;
+    Duration m_Wait = ShortWait;
     /// Pause after news before the next watch, so that changes that come
     /// together cost one call.
-    Duration m_Gather = 0us;
+    Duration m_CoalesceDelay = 0us;
     /// How the first read is made; what must be as new as the store from the
     /// start is read so.
     ReadKind m_FirstRead = ReadKind::Current;
     Backoff::Options m_Retry{.m_First = 100ms, .m_Cap = 1s, .m_Random = {}};
   };
   /// How a read of the whole prefix ended.
-  struct ReadEnd {
+  struct ReadOutcome {
     ReadKind m_Kind = ReadKind::Current;
     StoreStatus m_Status = StoreStatus::Lost;
     Duration m_Took = 0us;
@@ -54,14 +54,14 @@
   struct Hooks {
     /// The copy has changed, or was read for the first time.
     std::function<void()> m_Changed;
-    std::function<void(const ReadEnd &)> m_ReadEnded; ///< May be empty.
+    std::function<void(const ReadOutcome &)> m_ReadEnded; ///< May be empty.
   };
 
-  PrefixMirror(EventLoop &Loop, CoordinationStore &Store, Options Opts,
-               Hooks Callbacks);
-  ~PrefixMirror();
-  PrefixMirror(const PrefixMirror &) = delete;
-  PrefixMirror &operator=(const PrefixMirror &) = delete;
+  WatchCache(EventLoop &Loop, CoordinationStore &Store, Options Opts,
+             Hooks Callbacks);
+  ~WatchCache();
+  WatchCache(const WatchCache &) = delete;
+  WatchCache &operator=(const WatchCache &) = delete;
 
   /// A read that is under way is waited for, here and below: a large value
   /// takes a slow link most of a second, its bytes come whether or not they are
@@ -80,8 +80,10 @@
   /// Pauses between tries while the store does not answer.
   void setRetry(const RetryPauses &Pauses) { m_Backoff.setPauses(Pauses); }
   /// Takes effect after the next news.
-  void setGather(Duration Gather) { m_Opts.m_Gather = Gather; }
-  /// Whether a watch that is lost on the way must be found within CloseWait.
+  void setCoalesceDelay(Duration CoalesceDelay) {
+    m_Opts.m_CoalesceDelay = CoalesceDelay;
+  }
+  /// Whether a watch that is lost on the way must be found within ShortWait.
   void watchClosely(bool Closely);
   /// What this copy holds was the store's state at that time or later: when the
   /// last answered call was sent, or when a watch that brought nothing had
@@ -99,13 +101,13 @@
   };
 
   /// Takes over what another process read. \returns false when something is
-  /// missing between this copy and \p News, or one is a part and the other is
+  /// missing between this copy and \p Update, or one is a part and the other is
   /// not.
-  bool adopt(const Delta &News);
+  bool adopt(const Delta &Update);
   /// Whether this copy holds only what a leaf needs.
-  bool part() const { return m_Part; }
+  bool partial() const { return m_Part; }
   /// The whole copy.
-  Delta whole() const;
+  Delta snapshot() const;
   /// What has changed since the last call; the whole copy at the first.
   Delta takeChanges();
 
@@ -113,22 +115,22 @@
   const std::map<std::string, StoreItem> &items() const { return m_Items; }
   /// Revision of the newest change in the copy, or of the last whole read; 0
   /// before it.
-  StoreRevision revision() const { return m_At; }
+  StoreRevision revision() const { return m_Revision; }
   /// How the newest change came.
   CopySource source() const { return m_Source; }
 
 private:
   void read();
   void read(ReadKind Kind);
-  void onReadFailed(ReadEnd End);
-  void tellReadEnd(const ReadEnd &End) const;
+  void onReadFailed(ReadOutcome End);
+  void reportRead(const ReadOutcome &End) const;
   void watch();
   Duration nextWait(TimePoint Now) const;
   void onRead(StoreItems Read);
   bool takeOver(StoreItems Read);
-  void onChanges(const StoreChanges &News);
-  void noteQuiet(StoreRevision To, TimePoint Now);
-  void later(Duration Delay, void (PrefixMirror::*Step)());
+  void onChanges(const StoreChanges &Update);
+  void recordNoChange(StoreRevision To, TimePoint Now);
+  void schedule(Duration Delay, void (WatchCache::*Step)());
 
   EventLoop &m_Loop;
   CoordinationStore &m_Store;
@@ -137,13 +139,14 @@
   Backoff m_Backoff;
   std::map<std::string, StoreItem> m_Items;
   /// As it was when changes were last taken.
-  std::map<std::string, StoreRevision> m_Taken;
-  StoreRevision m_TakenAt = 0;
-  StoreRevision m_At = 0;
-  StoreRevision m_WatchedTo = 0; ///< Nothing has changed from m_At to there.
+  std::map<std::string, StoreRevision> m_TakenRevisions;
+  StoreRevision m_TakenRevision = 0;
+  StoreRevision m_Revision = 0;
+  StoreRevision m_WatchedTo =
+      0; ///< Nothing has changed from m_Revision to there.
   /// What a short watch without news said, and when: believed after Settle.
-  StoreRevision m_QuietTo = 0;
-  TimePoint m_QuietAt{};
+  StoreRevision m_UnchangedTo = 0;
+  TimePoint m_UnchangedAt{};
   CopySource m_Source = CopySource::None;
   bool m_Part = false;
   bool m_Closely = false;
@@ -155,7 +158,7 @@
   ReadKind m_ReadKind = ReadKind::Current; ///< Of the read under way.
   bool m_ReadAgain = false; ///< At once, should the read under way fail.
   /// Answers of earlier calls are dropped.
-  std::uint64_t m_Round = 0;
+  std::uint64_t m_Generation = 0;
   std::shared_ptr<void> m_Watching;
   Timer m_Timer;
   std::shared_ptr<bool> m_Alive = std::make_shared<bool>(true);
--- a/packages/gateway/request/Forwarder.cpp
+++ b/packages/gateway/request/Forwarder.cpp
@@ -68,7 +68,7 @@
   EarlyRequests::Item Item{.m_Exchange = Exchange,
                            .m_Request = std::move(Request),
                            .m_Arrived = EventLoop::now()};
-  if (m_State.knowsAll())
+  if (m_State.hasRequiredState())
     begin(std::move(Item));
   else
     keepOrRefuse(Item);
@@ -97,16 +97,17 @@
 }
 
 void Forwarder::releaseEarly() {
-  if (m_Early.size() == 0 || (!m_State.knowsAll() && !m_State.m_Stopping))
+  if (m_Early.size() == 0 ||
+      (!m_State.hasRequiredState() && !m_State.m_Stopping))
     return;
   m_EarlyTimer = Timer();
   std::vector<EarlyRequests::Item> Kept = m_Early.takeAll();
-  m_Log.write("early_requests",
-              {{"requests", Kept.size()}, {"known", m_State.knowsAll()}});
+  m_Log.write("early_requests", {{"requests", Kept.size()},
+                                 {"known", m_State.hasRequiredState()}});
   for (EarlyRequests::Item &Each : Kept) {
     if (!Each.m_Exchange->open())
       continue;
-    if (m_State.knowsAll())
+    if (m_State.hasRequiredState())
       begin(std::move(Each));
     else
       keepOrRefuse(Each);
--- a/tests/gateway/ConfigurationTest.cpp
+++ b/tests/gateway/ConfigurationTest.cpp
@@ -52,7 +52,7 @@
     // One gives orders, and reads the list for all.
     REQUIRE(until([this] {
       return count([](const Gateway &Box) {
-               return Box.givesOrders() && Box.watchesList();
+               return Box.leading() && Box.watchesList();
              }) == 1 &&
              count([](const Gateway &Box) { return Box.watchesList(); }) == 1 &&
              m_Store.watches(ConfigPrefix) == Boxes &&
@@ -150,7 +150,7 @@
   // Two calls and two words between boxes, on a box that is slow to its loop.
   constexpr Duration CallsAndWords = 4 * 50ms;
   constexpr Duration FoundDead =
-      PrefixMirror::CloseWait + platform::StoreClient::WatchTimeout;
+      WatchCache::ShortWait + platform::StoreClient::WatchTimeout;
   REQUIRE(FoundDead + ConfigPursuit::WatchTells + CallsAndWords < Given);
   // Connections that fell silent: boxes count as reached again after 3 s.
   REQUIRE(PeerLink::MostQuietLooks * PeerLink::LookEvery <= 3s);
--- a/tests/gateway/CrashTest.cpp
+++ b/tests/gateway/CrashTest.cpp
@@ -430,7 +430,7 @@
           "[gateway][crash]") {
   CrashTest Test(2, 5);
   for (const auto &[Id, Runner] : Test.m_Runners)
-    Test.listBorn(Id, 1000);
+    Test.listStarted(Id, 1000);
   REQUIRE(Test.until([&] {
     return std::all_of(Test.m_Boxes.begin(), Test.m_Boxes.end(),
                        [](const auto &Box) {
@@ -452,7 +452,7 @@
     Ended.clear();
     REQUIRE(Test.attempt("/unsafe/x", CrashTest::Boom).m_Status == 502);
     REQUIRE_FALSE(Ended.empty());
-    Test.listBorn(Ended, ++Born);
+    Test.listStarted(Ended, ++Born);
     const auto Knows = [&](const auto &Box) {
       return Box->state().m_Crashes.crashes(
                  CrashTest::digest(CrashTest::Boom, "/unsafe/x"),
--- a/tests/gateway/EvacuationTest.cpp
+++ b/tests/gateway/EvacuationTest.cpp
@@ -67,7 +67,7 @@
 
   std::vector<std::unique_ptr<Gateway>>::iterator giver() {
     return std::find_if(m_Boxes.begin(), m_Boxes.end(),
-                        [](const auto &Box) { return Box->givesOrders(); });
+                        [](const auto &Box) { return Box->leading(); });
   }
 
   /// Sends requests to \p Box. \returns how many of them i-x got.
@@ -300,7 +300,7 @@
     Call.m_Headers.push_back({"X-Token-Counts", "100,10"});
     return Test.fetch(std::move(Call)).m_Status == 200;
   };
-  REQUIRE(Test.until([&] { return Box.givesOrders(); }));
+  REQUIRE(Test.until([&] { return Box.leading(); }));
   REQUIRE(Served());
   const std::size_t Before = There.orders();
   Test.m_Store.put(KeyOfX, "{}");
--- a/tests/gateway/FleetTest.cpp
+++ b/tests/gateway/FleetTest.cpp
@@ -25,9 +25,8 @@
     }));
   }
 
-  int givers() const {
-    return (m_Gateway->givesOrders() ? 1 : 0) +
-           (m_Other->givesOrders() ? 1 : 0);
+  int leaders() const {
+    return (m_Gateway->leading() ? 1 : 0) + (m_Other->leading() ? 1 : 0);
   }
 
   std::unique_ptr<Gateway> m_Other;
@@ -39,28 +38,28 @@
 TEST_CASE("One box gives orders, and the other when that one leaves",
           "[gateway][fleet]") {
   FleetTest Test;
-  REQUIRE(Test.until([&] { return Test.givers() == 1; }));
-  const bool First = Test.m_Gateway->givesOrders();
+  REQUIRE(Test.until([&] { return Test.leaders() == 1; }));
+  const bool First = Test.m_Gateway->leading();
   (First ? Test.m_Gateway : Test.m_Other)->stop();
   REQUIRE(Test.until(
-      [&] { return (First ? Test.m_Other : Test.m_Gateway)->givesOrders(); }));
-  REQUIRE(Test.givers() == 1);
+      [&] { return (First ? Test.m_Other : Test.m_Gateway)->leading(); }));
+  REQUIRE(Test.leaders() == 1);
 }
 
 TEST_CASE("The order giver goes on while the store is away",
           "[gateway][fleet]") {
   FleetTest Test;
-  REQUIRE(Test.until([&] { return Test.givers() == 1; }));
+  REQUIRE(Test.until([&] { return Test.leaders() == 1; }));
   const std::size_t Calls = Test.m_Store.calls();
   Test.m_Store.setFault(StandinStore::Fault::Refuses);
   REQUIRE(Test.until([&] { return Test.m_Store.calls() > Calls + 20; }));
-  REQUIRE(Test.givers() == 1);
+  REQUIRE(Test.leaders() == 1);
 }
 
 TEST_CASE("News of runners reaches a box that does not watch the list itself",
           "[gateway][fleet]") {
   FleetTest Test;
-  REQUIRE(Test.until([&] { return Test.givers() == 1; }));
+  REQUIRE(Test.until([&] { return Test.leaders() == 1; }));
   const auto Relayed = [&] {
     return Test.m_Gateway->watchesList() != Test.m_Other->watchesList();
   };
@@ -72,7 +71,7 @@
   REQUIRE(Test.until(
       [&] { return Known(*Test.m_Gateway) && Known(*Test.m_Other); }));
   SECTION("and is read from the store when the relay is gone") {
-    const bool First = Test.m_Gateway->givesOrders();
+    const bool First = Test.m_Gateway->leading();
     auto &Left = First ? Test.m_Other : Test.m_Gateway;
     (First ? Test.m_Gateway : Test.m_Other).reset();
     REQUIRE(Test.until([&] { return Left->watchesList(); }));
@@ -105,10 +104,10 @@
 TEST_CASE("An order giver that was replaced stops though its watch is dead",
           "[gateway][fleet]") {
   FleetTest Test;
-  REQUIRE(Test.until([&] { return Test.givers() == 1; }));
+  REQUIRE(Test.until([&] { return Test.leaders() == 1; }));
   // Both boxes' watches are lost, and all links with them stay as they are.
   REQUIRE(Test.until([&] { return Test.m_Store.silenceWatch("havenstair/"); }));
   Test.m_Store.silenceWatch("havenstair/");
   Test.m_Store.put("havenstair/giver", "somebody else");
-  REQUIRE(Test.until([&] { return Test.givers() == 0; }));
+  REQUIRE(Test.until([&] { return Test.leaders() == 0; }));
 }
--- a/tests/gateway/GatewayTest.h
+++ b/tests/gateway/GatewayTest.h
@@ -56,7 +56,7 @@
   }
 
   /// Lists the runner \p Id as one that started at \p Born.
-  void listBorn(const std::string &Id, UpstreamBirth Born) {
+  void listStarted(const std::string &Id, UpstreamBirth Born) {
     Json Entry = entry(Id, "ready");
     Entry["born"] = Born;
     m_Store.put("servers/" + Id, dumpJson(Entry));
@@ -145,7 +145,7 @@
         [this, Box = Options.m_Box,
          Decode = std::move(Binding.m_DecodeConfig)](const std::string &Value) {
           ServingConfig Result = Decode(Value);
-          if (Box == m_Stubborn && Result.m_Version > 1)
+          if (Box == m_OutdatedBox && Result.m_Version > 1)
             throw DecodeError("a field that this box does not know");
           return Result;
         };
@@ -230,7 +230,7 @@
   }
 
   /// The box that can read no version but the first.
-  BoxName m_Stubborn;
+  BoxName m_OutdatedBox;
   int m_TimeoutMs = 8000;
   Json m_Organisations = Json::array(); ///< Of the next configuration.
   int m_LogDescriptor = open("/dev/null", O_WRONLY);
--- a/tests/gateway/LargeFleetTest.cpp
+++ b/tests/gateway/LargeFleetTest.cpp
@@ -40,7 +40,7 @@
     return BoxName("box-" + std::to_string(10 + Number));
   }
 
-  bool leafOnly(std::size_t Number) const { return Number >= Strong; }
+  bool isWeak(std::size_t Number) const { return Number >= Strong; }
 
   bool allServe(ConfigVersion Version) const {
     return std::all_of(m_Boxes.begin(), m_Boxes.end(), [&](const auto &Box) {
@@ -102,7 +102,7 @@
   std::unique_ptr<Gateway> startBox(std::size_t Number) {
     GatewayOptions Options = options();
     Options.m_Box = nameOf(Number);
-    Options.m_Capacity = leafOnly(Number) ? 0.12 : 0.5;
+    Options.m_Capacity = isWeak(Number) ? 0.12 : 0.5;
     return makeGateway(Options, [] {});
   }
 };
@@ -112,16 +112,16 @@
 TEST_CASE("In a large fleet one box reads the list for all",
           "[gateway][fleet]") {
   LargeFleetTest Test;
-  const auto FindGiver = [&] {
+  const auto FindLeader = [&] {
     return std::find_if(
         Test.m_Boxes.begin(), Test.m_Boxes.end(),
-        [](const std::unique_ptr<Gateway> &Box) { return Box->givesOrders(); });
+        [](const std::unique_ptr<Gateway> &Box) { return Box->leading(); });
   };
   REQUIRE(Test.until([&] {
-    return FindGiver() != Test.m_Boxes.end() && Test.watching() == 1;
+    return FindLeader() != Test.m_Boxes.end() && Test.watching() == 1;
   }));
-  const auto Giver = FindGiver();
-  REQUIRE(Giver != Test.m_Boxes.end());
+  const auto Leader = FindLeader();
+  REQUIRE(Leader != Test.m_Boxes.end());
 
   SECTION("news of runners reach every leaf") {
     Test.addRunner("i-2", [](const Request &, const ConnectionPtr &) {});
@@ -187,11 +187,10 @@
     }));
   }
   SECTION("and another one when that one is gone") {
-    Giver->reset();
+    Leader->reset();
     REQUIRE(Test.until([&] {
-      return std::any_of(
-          Test.m_Boxes.begin(), Test.m_Boxes.end(),
-          [](const auto &Box) { return Box && Box->givesOrders(); });
+      return std::any_of(Test.m_Boxes.begin(), Test.m_Boxes.end(),
+                         [](const auto &Box) { return Box && Box->leading(); });
     }));
     REQUIRE(Test.until([&] { return Test.watching() == 1; }));
   }
@@ -203,19 +202,19 @@
   REQUIRE(Test.until([&] {
     return Test.m_Store.watches("op/config") == 1 &&
            std::any_of(Test.m_Boxes.begin(), Test.m_Boxes.end(),
-                       [](const auto &Box) { return Box->givesOrders(); });
+                       [](const auto &Box) { return Box->leading(); });
   }));
   // A relay that reads for itself alone.
-  const auto Stubborn = std::find_if(
+  const auto Outdated = std::find_if(
       Test.m_Boxes.begin(), Test.m_Boxes.begin() + LargeFleetTest::Strong,
-      [](const auto &Box) { return !Box->givesOrders(); });
-  Test.m_Stubborn = LargeFleetTest::nameOf(
-      static_cast<std::size_t>(std::distance(Test.m_Boxes.begin(), Stubborn)));
+      [](const auto &Box) { return !Box->leading(); });
+  Test.m_OutdatedBox = LargeFleetTest::nameOf(
+      static_cast<std::size_t>(std::distance(Test.m_Boxes.begin(), Outdated)));
   Test.configure(2);
   REQUIRE(Test.until([&] {
     return std::all_of(
         Test.m_Boxes.begin(), Test.m_Boxes.end(), [&](const auto &Box) {
-          return Box == *Stubborn || Box->state().configVersion() == 2;
+          return Box == *Outdated || Box->state().configVersion() == 2;
         });
   }));
 }
--- a/tests/gateway/ManagedEngineTest.cpp
+++ b/tests/gateway/ManagedEngineTest.cpp
@@ -14,7 +14,7 @@
   Engine.m_Ledger.begin({.m_Load = true, .m_Model = "m", .m_Adapter = {}},
                         at(0s));
   Engine.m_Ledger.answered(OrderAnswer::Accepted, at(0s));
-  Engine.loadBegan(LoadSource::Store, 4s, Slowness, at(0s));
+  Engine.recordLoadStart(LoadSource::Store, 4s, Slowness, at(0s));
   return Engine;
 }
 
@@ -29,31 +29,31 @@
   REQUIRE(Contents.m_Loading == "m");
   REQUIRE(Contents.m_ServesIn == 5s);
   SECTION("it is told once") {
-    REQUIRE(Engine.takeNews(Entry, at(1s)));
-    REQUIRE_FALSE(Engine.takeNews(Entry, at(2s)));
+    REQUIRE(Engine.takeUpdate(Entry, at(1s)));
+    REQUIRE_FALSE(Engine.takeUpdate(Entry, at(2s)));
   }
   SECTION("it is overdue, and expected soon") {
-    Engine.takeNews(Entry, at(5s));
+    Engine.takeUpdate(Entry, at(5s));
     Engine.expectOverdue(at(5s));
-    REQUIRE_FALSE(Engine.takeNews(Entry, at(5s)));
+    REQUIRE_FALSE(Engine.takeUpdate(Entry, at(5s)));
     Engine.expectOverdue(at(6s));
-    const auto News = Engine.takeNews(Entry, at(6s));
+    const auto News = Engine.takeUpdate(Entry, at(6s));
     REQUIRE(News);
     REQUIRE(News->m_ServesIn > 0us);
     REQUIRE(News->m_ServesIn <= 1s);
   }
   SECTION("it ends, and tells how slow the store was") {
-    REQUIRE(Engine.loadEnded(at(8s)) == 2.0);
-    REQUIRE_FALSE(Engine.loadEnded(at(9s)));
+    REQUIRE(Engine.recordLoadEnd(at(8s)) == 2.0);
+    REQUIRE_FALSE(Engine.recordLoadEnd(at(9s)));
   }
 }
 
 TEST_CASE("Loads from the engine's own disk tell nothing of the store",
           "[orders]") {
   ManagedEngine Engine = loading(1);
-  Engine.loadBegan(LoadSource::Disk, 1s, 3, at(0s));
+  Engine.recordLoadStart(LoadSource::Disk, 1s, 3, at(0s));
   REQUIRE(Engine.m_ServesAt == at(1s));
-  REQUIRE_FALSE(Engine.loadEnded(at(2s)));
+  REQUIRE_FALSE(Engine.recordLoadEnd(at(2s)));
 }
 
 TEST_CASE("A copy that is kept stays for a replica's usual time from then on",
@@ -63,9 +63,9 @@
   Report.m_Models = {{.m_Name = "kept", .m_Adapters = {}},
                      {.m_Name = "other", .m_Adapters = {}}};
   Engine.m_Ledger.heard(Report, at(0s));
-  Engine.keep({"kept", "elsewhere"}, at(10s));
+  Engine.keepModels({"kept", "elsewhere"}, at(10s));
   const auto Fresh = [&](TimePoint Now) {
-    return Engine.forModels({}, 1, 6s, Now).m_Fresh;
+    return Engine.modelPlanEntry({}, 1, 6s, Now).m_Fresh;
   };
   REQUIRE(Fresh(at(9s)) == std::set<std::string>{"kept"});
   REQUIRE(Fresh(at(15s)) == std::set<std::string>{"kept"});
@@ -83,20 +83,20 @@
     Entry.m_Models = Report.m_Models;
     REQUIRE_FALSE(Engine.differsFrom(Entry, at(0s)));
     for (const Duration Later : {0s, 4s, 8s})
-      REQUIRE_FALSE(Engine.takeNews(Entry, at(Later)));
+      REQUIRE_FALSE(Engine.takeUpdate(Entry, at(Later)));
   }
   SECTION("but what it does not tell, as boxes may have missed it") {
     REQUIRE(Engine.differsFrom(Entry, at(0s)));
-    REQUIRE(Engine.takeNews(Entry, at(0s)));
-    REQUIRE_FALSE(Engine.takeNews(Entry, at(1s)));
-    REQUIRE(Engine.takeNews(Entry, at(4s)));
+    REQUIRE(Engine.takeUpdate(Entry, at(0s)));
+    REQUIRE_FALSE(Engine.takeUpdate(Entry, at(1s)));
+    REQUIRE(Engine.takeUpdate(Entry, at(4s)));
   }
   SECTION("and each change, though the list already tells it") {
     Entry.m_Models = Report.m_Models;
-    REQUIRE_FALSE(Engine.takeNews(Entry, at(0s)));
+    REQUIRE_FALSE(Engine.takeUpdate(Entry, at(0s)));
     Report.m_Models.clear();
     Engine.m_Ledger.heard(Report, at(1s));
     Entry.m_Models.clear();
-    REQUIRE(Engine.takeNews(Entry, at(1s)));
+    REQUIRE(Engine.takeUpdate(Entry, at(1s)));
   }
 }
--- a/tests/gateway/OrderTest.cpp
+++ b/tests/gateway/OrderTest.cpp
@@ -74,9 +74,8 @@
                                    {"adapterList", 3},
                                    {"adapterSizeMb", 1}}}));
     startGateway();
-    REQUIRE(until([&] {
-      return m_Gateway->state().ready() && m_Gateway->givesOrders();
-    }));
+    REQUIRE(until(
+        [&] { return m_Gateway->state().ready() && m_Gateway->leading(); }));
   }
 
   int ask(const std::string &Model, const std::string &Id) {
--- a/tests/gateway/RestartTest.cpp
+++ b/tests/gateway/RestartTest.cpp
@@ -15,7 +15,7 @@
     addRunner("i-1", [this](const Request &Of, const ConnectionPtr &On) {
       serve(Of, On);
     });
-    listBorn("i-1", 100);
+    listStarted("i-1", 100);
     start();
     REQUIRE(until([&] { return bornAt() == 100; }));
   }
@@ -36,7 +36,7 @@
   void comeBack() {
     m_Holds = false;
     ++m_Start;
-    listBorn("i-1", 100 + m_Start);
+    listStarted("i-1", 100 + m_Start);
     REQUIRE(until([&] { return bornAt() == 100 + m_Start; }));
   }
 
--- a/tests/gateway/ServerLeavingTest.cpp
+++ b/tests/gateway/ServerLeavingTest.cpp
@@ -59,7 +59,7 @@
   REQUIRE(Test.until(AllKnow));
   SECTION("and a later life of the server is used again") {
     Test.m_Words["leaving"] = "";
-    Test.listBorn("leaving", 7);
+    Test.listStarted("leaving", 7);
     REQUIRE(Test.sendOne().m_Served == 1);
   }
 }
--- a/tests/gateway/SuspensionTest.cpp
+++ b/tests/gateway/SuspensionTest.cpp
@@ -63,9 +63,9 @@
   GatewayTest Test;
   Test.addRunner("i-1", [](const Request &, const ConnectionPtr &) {});
   Test.start();
-  REQUIRE(Test.until([&] { return Test.m_Gateway->givesOrders(); }));
+  REQUIRE(Test.until([&] { return Test.m_Gateway->leading(); }));
   Clock::skip(Suspended);
-  REQUIRE(Test.until([&] { return !Test.m_Gateway->givesOrders(); }));
+  REQUIRE(Test.until([&] { return !Test.m_Gateway->leading(); }));
   // It is taken anew.
-  REQUIRE(Test.until([&] { return Test.m_Gateway->givesOrders(); }));
+  REQUIRE(Test.until([&] { return Test.m_Gateway->leading(); }));
 }
