--- a/packages/gateway/process/ComponentOptions.cpp
+++ b/packages/gateway/process/ComponentOptions.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Where the platform gives no secret, links rely on its network; the proof
-/// then only keeps out what is no box of ours.
+/// Used when the platform provides no secret: links then rely on their network,
+/// and authentication only rejects what is no box of this system.
 constexpr const char *OpenSecret = "havenstair gateway fleet";
 
 } // namespace
--- a/packages/gateway/process/ComponentOptions.h
+++ b/packages/gateway/process/ComponentOptions.h
@@ -1,5 +1,5 @@
 /// \file
-/// Options of a gateway's parts, from its settings and policy.
+/// Derives the options of a gateway's components from its settings and policy.
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_COMPONENTOPTIONS_H
 #define HAVENSTAIR_GATEWAY_PROCESS_COMPONENTOPTIONS_H
 
@@ -12,7 +12,7 @@
 
 namespace havenstair {
 
-/// \p Process: name of this start of the box.
+/// \p Process is the name of this process of the box.
 Fleet::Options fleetOptions(const GatewayOptions &Settings,
                             const PlatformBinding &Binding,
                             const BoxName &Process, RandomUnit Random);
--- a/packages/gateway/process/ConfigFollower.cpp
+++ b/packages/gateway/process/ConfigFollower.cpp
@@ -21,8 +21,9 @@
          m_Deps.m_Fleet.understands(Uplink, PackingProtocol);
 }
 
-/// A small relay would need most of a second for each read that it makes, as
-/// long as a leaf; a strong box reads in some ms, and sends its copy packed.
+/// Whether another box is asked for a copy instead of the store. A small relay
+/// needs most of a second for each read, as long as a leaf does; a strong box
+/// reads in a few milliseconds and sends its copy compressed.
 bool ConfigFollower::delegatesReads() const {
   if (m_Deps.m_Cache.running())
     return false;
@@ -34,27 +35,28 @@
 void ConfigFollower::recordDigest(const BoxName &From,
                                   const FleetDigestFrame &Frame,
                                   TimePoint Now) {
-  const ConfigVersion Known = m_Deps.m_State.configVersion();
-  const ConfigPursuit::Word Word{.m_Held = Frame.m_Config,
-                                 .m_Known = Frame.m_ConfigKnown};
-  if (std::max(Word.m_Held, Word.m_Known) <= Known)
+  const ConfigVersion Current = m_Deps.m_State.configVersion();
+  const ConfigPursuit::Word Report{.m_Held = Frame.m_Config,
+                                   .m_Known = Frame.m_ConfigKnown};
+  if (std::max(Report.m_Held, Report.m_Known) <= Current)
     return;
-  if (m_FetchPolicy.told(From, Word, Now))
+  if (m_FetchPolicy.told(From, Report, Now))
     m_Deps.m_Log.write("config_told",
                        {{"version", m_FetchPolicy.newest().m_Version},
-                        {"known", Known},
+                        {"known", Current},
                         {"peer", From.str()},
-                        {"held", Word.m_Held},
+                        {"held", Report.m_Held},
                         {"age_ms", m_Hooks.m_Age(Now) / 1ms}});
   proceed(Now);
 }
 
 void ConfigFollower::proceed(TimePoint Now) {
-  const ConfigVersion Known = m_Deps.m_State.configVersion();
-  // Who is stronger is looked up in the whole fleet, and seldom matters.
-  const bool Behind = m_FetchPolicy.newest().m_Version > Known;
+  const ConfigVersion Current = m_Deps.m_State.configVersion();
+  // Comparing strengths looks through the whole fleet, and is needed only when
+  // this box is behind.
+  const bool Behind = m_FetchPolicy.newest().m_Version > Current;
   const ConfigStep Step =
-      m_FetchPolicy.next({.m_Known = Known,
+      m_FetchPolicy.next({.m_Known = Current,
                           .m_Reading = m_Deps.m_Cache.reading(),
                           .m_Watching = m_Deps.m_Cache.running(),
                           .m_LeavesReads = Behind && delegatesReads()},
@@ -63,7 +65,7 @@
   case ConfigStep::None:
     return;
   case ConfigStep::Ask:
-    return ask(m_FetchPolicy.holder());
+    return requestFrom(m_FetchPolicy.holder());
   case ConfigStep::ReadStale:
     return m_Deps.m_Cache.readOnce(ReadKind::Stale);
   case ConfigStep::ReadCurrent:
@@ -74,7 +76,7 @@
   }
 }
 
-void ConfigFollower::ask(const BoxName &Holder) {
+void ConfigFollower::requestFrom(const BoxName &Holder) {
   m_Deps.m_Log.write("config_asked",
                      {{"peer", Holder.str()},
                       {"version", m_FetchPolicy.newest().m_Version},
--- a/packages/gateway/process/ConfigFollower.h
+++ b/packages/gateway/process/ConfigFollower.h
@@ -1,5 +1,5 @@
 /// \file
-/// How a box follows the newest configuration that others tell of. See
+/// How a box follows the newest configuration that other boxes report. See
 /// docs/design/fleet.md.
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_CONFIGFOLLOWER_H
 #define HAVENSTAIR_GATEWAY_PROCESS_CONFIGFOLLOWER_H
@@ -15,47 +15,50 @@
 class Fleet;
 class WatchCache;
 
-/// Takes the steps of ConfigPursuit: asks other boxes for their copy, reads the
-/// store, and begins a dead watch again.
+/// Carries out the steps of ConfigPursuit: requests copies from other boxes,
+/// reads the store, and restarts a watch that seems dead.
 class ConfigFollower {
 public:
   struct Dependencies {
     Fleet &m_Fleet;
     const ServingState &m_State;
-    WatchCache &m_Cache; ///< Of the configuration.
+    WatchCache &m_Cache; ///< Cache of the configuration.
     DecisionLog &m_Log;
   };
   struct Hooks {
-    /// The next box on the way to the one that gives orders; may be empty.
+    /// Returns the next hop towards the leader; may be empty.
     std::function<BoxName()> m_NextHopToLeader;
-    /// Asks a box for all that it knows better.
+    /// Requests from a box everything that is newer there.
     std::function<void(const BoxName &)> m_Ask;
-    /// Connections to the store may be dead without saying so.
+    /// Closes the connections to the store, which may be dead without an error.
     std::function<void()> m_DropConnections;
-    /// How long ago this box's copy was the store's.
+    /// Time since this box's copy was confirmed as the store's state.
     std::function<Duration(TimePoint Now)> m_Age;
   };
 
   ConfigFollower(Dependencies Deps, Hooks Callbacks);
 
-  /// \p From, a relay, tells which version it has, and which it knows of.
+  /// Processes a digest of \p From, a relay: the version that it has, and the
+  /// newest one that it knows of.
   void recordDigest(const BoxName &From, const FleetDigestFrame &Frame,
                     TimePoint Now);
-  /// Goes on, also when no box says anything more.
+  /// Takes the next step; to be called at an interval, also without digests.
   void proceed(TimePoint Now);
+  /// Forgets what \p Box, whose link is gone, has reported.
   void forget(const BoxName &Box) { m_FetchPolicy.forget(Box); }
-  /// Whether the uplink of this box, a leaf, sends its configuration,
-  /// compressed: hundreds of leaves that read each version from the store make
-  /// more calls than all else that a fleet does.
+  /// Whether this box is a leaf whose uplink can send the configuration
+  /// compressed. Hundreds of leaves that read each version from the store would
+  /// make more calls than all other parts of a fleet.
   bool asksUplink() const;
+  /// The newest version that another box reported.
   const ConfigPursuit::Told &newest() const { return m_FetchPolicy.newest(); }
-  /// How long ago another box first told of a version that this one lacks; 0
+  /// Time since another box first reported a version that this one lacks; 0
   /// when it lacks none.
   Duration behind(TimePoint Now) const;
 
 private:
   bool delegatesReads() const;
-  void ask(const BoxName &Holder);
+  void requestFrom(const BoxName &Holder);
 
   Dependencies m_Deps;
   Hooks m_Hooks;
--- a/packages/gateway/process/ConfigSendQueue.cpp
+++ b/packages/gateway/process/ConfigSendQueue.cpp
@@ -19,14 +19,15 @@
 }
 
 void ConfigSendQueue::recordVersion(const BoxName &Box, ConfigVersion Held) {
-  if (const auto Found = m_Waiting.find(Box); Found != m_Waiting.end())
-    Found->second = Held;
+  if (const auto Entry = m_Waiting.find(Box); Entry != m_Waiting.end())
+    Entry->second = Held;
 }
 
 void ConfigSendQueue::sendWaiting(ConfigVersion Own) {
   std::erase_if(m_Waiting,
                 [Own](const auto &Each) { return Each.second >= Own; });
-  // A link that fails as it is written to leaves the map.
+  // Iterates over a copy: a link that fails during a write removes its box from
+  // the map.
   const std::map<BoxName, ConfigVersion> Waiting = m_Waiting;
   for (const auto &[Box, Held] : Waiting) {
     if (m_Hooks.m_Busy())
--- a/packages/gateway/process/CoordinationStore.cpp
+++ b/packages/gateway/process/CoordinationStore.cpp
@@ -2,8 +2,8 @@
 
 namespace havenstair {
 
-const char *toString(StoreStatus Of) {
-  switch (Of) {
+const char *toString(StoreStatus Status) {
+  switch (Status) {
   case StoreStatus::Ok:
     return "ok";
   case StoreStatus::NotFound:
@@ -20,8 +20,8 @@
   return "lost";
 }
 
-const char *toString(ReadKind Of) {
-  return Of == ReadKind::Stale ? "stale" : "current";
+const char *toString(ReadKind Kind) {
+  return Kind == ReadKind::Stale ? "stale" : "current";
 }
 
 } // namespace havenstair
--- a/packages/gateway/process/CoordinationStore.h
+++ b/packages/gateway/process/CoordinationStore.h
@@ -1,5 +1,5 @@
 /// \file
-/// The platform's key-value service as the gateway needs it.
+/// Interface to the platform's key-value store.
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_COORDINATIONSTORE_H
 #define HAVENSTAIR_GATEWAY_PROCESS_COORDINATIONSTORE_H
 
@@ -13,30 +13,31 @@
 
 namespace havenstair {
 
-/// Count of all changes of the store; higher is newer.
+/// Number of a change of the store; it counts all changes, so a higher one is
+/// newer.
 using StoreRevision = std::uint64_t;
 using LeaseId = std::uint64_t;
 
 enum class StoreStatus {
   Ok,
   NotFound,    ///< No such key or lease.
-  Conflict,    ///< A condition did not hold; nothing was done.
-  HistoryGone, ///< The changes asked for are forgotten; read anew.
-  Refused,     ///< The store turned the call away; nothing was done.
+  Conflict,    ///< A condition did not hold; nothing was written.
+  HistoryGone, ///< The requested changes are compacted; read the prefix anew.
+  Refused,     ///< The store refused the call; nothing was written.
   Lost         ///< No usable answer; a write may still take effect.
 };
 
-const char *toString(StoreStatus Of);
+const char *toString(StoreStatus Status);
 
-/// How new what is read must be.
+/// How fresh the result of a read has to be.
 enum class ReadKind {
-  Current, ///< As new as every write that was acknowledged before.
-  Stale    ///< May be seconds old; costs the store a tenth of the other.
+  Current, ///< Includes every write that was acknowledged before the read.
+  Stale    ///< May be seconds old; costs a tenth of a current read.
 };
 
-const char *toString(ReadKind Of);
+const char *toString(ReadKind Kind);
 
-/// One key with its value.
+/// A key with its value and the revision of its last change.
 struct StoreItem {
   std::string m_Key;
   std::string m_Value;
@@ -45,7 +46,7 @@
   bool operator==(const StoreItem &) const = default;
 };
 
-/// A change of a key; without a value the key is gone.
+/// A change of a key; an empty value means that the key was removed.
 struct StoreChange {
   std::string m_Key;
   std::optional<std::string> m_Value;
@@ -54,39 +55,44 @@
   bool operator==(const StoreChange &) const = default;
 };
 
+/// Result of a read of a prefix; usable only when the status is Ok.
 struct StoreItems {
   StoreStatus m_Status = StoreStatus::Lost;
   std::vector<StoreItem> m_Items;
-  StoreRevision m_At = 0; ///< Where a watch goes on from.
+  /// The store's revision as of the read; a watch continues from it.
+  StoreRevision m_At = 0;
 };
 
+/// Result of a watch; usable only when the status is Ok.
 struct StoreChanges {
   StoreStatus m_Status = StoreStatus::Lost;
   std::vector<StoreChange> m_Changes;
-  StoreRevision m_At = 0;
+  StoreRevision m_At = 0; ///< The answer covers all changes up to here.
 };
 
-/// A key must be at a revision; 0 means that it must not exist.
+/// Requires a key to be at a revision; 0 requires that the key does not exist.
 struct StoreCondition {
   std::string m_Key;
   StoreRevision m_Revision = 0;
 };
 
+/// A write of a key.
 struct StorePut {
   std::string m_Key;
   std::string m_Value;
-  LeaseId m_Lease = 0; ///< 0 for none.
+  LeaseId m_Lease = 0; ///< 0 when the key has no lease.
 };
 
-/// Everything is done, or nothing.
+/// A transaction that is applied as a whole, or not at all when a condition
+/// does not hold.
 struct StoreTransaction {
   std::vector<StoreCondition> m_Conditions;
   std::vector<StorePut> m_Puts;
-  std::vector<std::string> m_Removals;
+  std::vector<std::string> m_Removals; ///< Keys to remove.
 };
 
-/// Interface, so that tests can put a fake in its place. Callbacks run from the
-/// loop, once for each call.
+/// Interface to the store, so that tests can substitute a fake. Each callback
+/// runs once, from the event loop.
 class CoordinationStore {
 public:
   using ItemsDone = std::function<void(StoreItems)>;
@@ -96,19 +102,23 @@
   using Done = std::function<void(StoreStatus)>;
 
   virtual ~CoordinationStore() = default;
-  /// All items whose keys begin with \p Prefix.
+  /// Reads all items whose keys begin with \p Prefix.
   virtual void range(const std::string &Prefix, ReadKind Kind,
                      ItemsDone Callback) = 0;
-  /// Changes after \p After, as soon as there are any or \p Wait is over.
-  /// \returns a handle; destroying it abandons the call.
+  /// Reports the changes after revision \p After as soon as there are any, or
+  /// an empty answer once \p Wait is over.
+  /// \returns a handle; destroying it cancels the call.
   [[nodiscard]] virtual std::shared_ptr<void> watch(const std::string &Prefix,
                                                     StoreRevision After,
                                                     Duration Wait,
                                                     ChangesDone Callback) = 0;
+  /// The callback gets the revision of the write.
   virtual void transact(const StoreTransaction &Transaction,
                         WriteDone Callback) = 0;
+  /// The callback gets the lease and the time to live that the store granted.
   virtual void grantLease(Duration TimeToLive, LeaseDone Callback) = 0;
   virtual void renewLease(LeaseId Lease, Done Callback) = 0;
+  /// Ends the lease; the store removes its keys.
   virtual void revokeLease(LeaseId Lease, Done Callback) = 0;
 };
 
--- a/packages/gateway/process/Fleet.cpp
+++ b/packages/gateway/process/Fleet.cpp
@@ -9,17 +9,17 @@
 namespace {
 
 constexpr Duration TickEvery = 100ms;
-/// Pauses between tries to keep the entry while the store does not answer.
-/// Hundreds of boxes that try five times a second would pay more for an outage
-/// of 8 s than for the whole day around it.
+/// Backoff for the entry while the store does not answer. Hundreds of boxes
+/// that try five times a second would pay more for an outage of 8 s than for
+/// the rest of the day.
 constexpr RetryPauses Retry{.m_First = 200ms, .m_Cap = 500ms};
 constexpr RetryPauses LargeRetry{.m_First = 500ms, .m_Cap = 2s};
 
-/// Added to the time between renewals before the store counts as silent.
+/// Added to two renewal intervals before the store counts as unreachable.
 constexpr Duration StoreSilence = 500ms;
 
-/// A relay's link carries this in some milliseconds, a leaf's in a tenth of a
-/// second.
+/// A link counts as slow when more than this is queued: a relay's link carries
+/// it in some milliseconds, a leaf's in a tenth of a second.
 constexpr std::size_t SlowFromBytes = std::size_t{256} << 10;
 
 constexpr const char *BoxKeys = "box/";
@@ -57,7 +57,7 @@
   m_TickTimer = Loop.every(TickEvery, [this] { tick(); });
 }
 
-/// Links that end with this object have nobody left to tell.
+/// Links that end with this object must not call hooks any more.
 Fleet::~Fleet() {
   m_Hooks = {.m_Frame = [](const BoxName &, const PeerFrame &) {},
              .m_Up = [](const BoxName &) {},
@@ -142,7 +142,7 @@
 
 void Fleet::readEntries(const std::map<std::string, StoreItem> &Items) {
   const std::string Start = m_Opts.m_Prefix + BoxKeys;
-  std::map<BoxName, ListedBox> Read;
+  std::map<BoxName, ListedBox> Listed;
   for (const auto &[Key, Item] : Items) {
     const BoxName Box(Key.starts_with(Start) ? Key.substr(Start.size()) : "");
     if (Box.empty() || Box == m_Opts.m_Box)
@@ -150,10 +150,11 @@
     const auto Before = m_Listed.find(Box);
     const bool Same = Before != m_Listed.end() &&
                       Before->second.m_Revision == Item.m_Revision;
-    Read.emplace(Box, Same ? Before->second : decode(Box, Item));
+    Listed.emplace(Box, Same ? Before->second : decode(Box, Item));
   }
-  std::erase_if(Read, [](const auto &Each) { return !Each.second.m_Address; });
-  m_Listed = std::move(Read);
+  std::erase_if(Listed,
+                [](const auto &Each) { return !Each.second.m_Address; });
+  m_Listed = std::move(Listed);
 }
 
 void Fleet::entriesChanged(const std::map<std::string, StoreItem> &Items) {
@@ -179,7 +180,7 @@
   std::vector<PeerAddress> Peers;
   for (const BoxName &Box : m_Topology.links()) {
     Peers.push_back(*m_Listed.at(Box).m_Address);
-    // Relays do not know who their leaves are.
+    // Leaves dial their relays, which do not know their leaves.
     Peers.back().m_Dial = !m_Topology.relay();
     Wanted.insert(Box);
   }
--- a/packages/gateway/process/Fleet.h
+++ b/packages/gateway/process/Fleet.h
@@ -1,5 +1,5 @@
 /// \file
-/// The other boxes: who they are, links to them, and what they tell.
+/// Membership of this box in the fleet, and its links to the other boxes.
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_FLEET_H
 #define HAVENSTAIR_GATEWAY_PROCESS_FLEET_H
 
@@ -19,34 +19,37 @@
 
 class DecisionLog;
 
-/// Keeps this box's entry in the store, reads the entries of the others, and
-/// keeps the links of the fleet's topology, which outlive an outage of the
-/// store.
+/// Keeps this box's entry in the store, reads the entries of the other boxes,
+/// and maintains the links of the fleet's topology. Links outlive an outage of
+/// the store.
 class Fleet {
 public:
   struct Options {
-    BoxName m_Box; ///< Of this start of the process.
+    BoxName m_Box; ///< Name of this process of the box.
     DataCentreName m_DataCentre;
-    double m_Capacity = 1; ///< Share of a core.
-    Endpoint m_Peers;
-    std::vector<Endpoint> m_Seeds;
-    std::string m_Secret;
-    std::string m_Prefix; ///< Keys of boxes begin with it.
-    Duration m_Lease = 6s;
-    /// In a small fleet, where each box reads the store itself, renewals tell
-    /// it soon that the store turns it away.
+    double m_Capacity = 1; ///< Processor capacity, as a share of a core.
+    Endpoint m_Peers; ///< Address on which links of other boxes are accepted.
+    std::vector<Endpoint> m_Seeds; ///< Boxes to link to without the store.
+    std::string m_Secret;  ///< Shared by all boxes, to authenticate links.
+    std::string m_Prefix;  ///< Prefix of the keys that this box may write.
+    Duration m_Lease = 6s; ///< Time to live of this box's entry.
+    /// Renewal interval in a small fleet, where each box reads the store
+    /// itself: a failed renewal tells it soon that the store refuses it.
     Duration m_RenewEvery = 500ms;
-    /// In a large fleet, where relays tell of the store: three tries within the
-    /// lease. Each renewal costs a tenth of a call, and hundreds of boxes make
-    /// them.
+    /// Renewal interval in a large fleet, where relays report whether the store
+    /// answers: three tries within the lease. Each renewal costs a tenth of a
+    /// call, and hundreds of boxes renew.
     Duration m_LargeRenewEvery = 2s;
     RandomUnit m_Random;
   };
   struct Hooks {
+    /// A frame has come from a linked box.
     std::function<void(const BoxName &, PeerFrame)> m_Frame;
+    /// A link to a box has been established.
     std::function<void(const BoxName &)> m_Up;
+    /// A link to a box has ended.
     std::function<void(const BoxName &)> m_Down;
-    /// The store answers again after it did not.
+    /// The store answers again after an outage.
     std::function<void()> m_StoreBack;
   };
 
@@ -56,59 +59,65 @@
   Fleet(const Fleet &) = delete;
   Fleet &operator=(const Fleet &) = delete;
 
-  /// The store's keys have changed; \p Items are those of the whole prefix.
+  /// The store's keys have changed; \p Items are all keys under the prefix.
   void entriesChanged(const std::map<std::string, StoreItem> &Items);
+  /// Sends \p Frame to \p To; does nothing when that box is not linked.
   void send(const BoxName &To, const PeerFrame &Frame);
   void send(const BoxName &To, const EncodedFrame &Frame);
-  /// Frames of one kind that this box has sent, and their bytes.
+  /// Frames of one kind that this box has sent, and their size in bytes.
   struct Sent {
     std::uint64_t m_Frames = 0;
     std::uint64_t m_Bytes = 0;
   };
-  /// By name of their kind.
+  /// The frames that this box has sent, by name of their kind.
   const std::map<std::string_view, Sent> &sent() const { return m_Sent; }
-  /// Whether so much waits to be sent to \p To that a state which will be told
-  /// anew had better wait, too.
+  /// Whether so much is queued on the link to \p To that state which is sent
+  /// again later should wait.
   bool slow(const BoxName &To) const;
-  /// The same over all links of this box.
+  /// Whether so much is queued over all links of this box.
   bool busy() const;
-  /// Whether \p Box, which is linked, understands \p Protocol.
+  /// Whether the linked box \p Box understands \p Protocol.
   bool understands(const BoxName &Box, PeerProtocol Protocol) const {
     return m_Mesh.protocolOf(Box) >= Protocol;
   }
-  /// Where \p Box, which is linked, stands.
+  /// The data centre of the linked box \p Box.
   DataCentreName dataCentreOf(const BoxName &Box) const {
     return m_Mesh.dataCentreOf(Box);
   }
-  /// To all linked boxes.
+  /// Sends \p Frame to all linked boxes.
   void sendAll(const PeerFrame &Frame);
-  /// To the linked relays, but for \p But.
+  /// Sends \p Frame to all linked relays except \p But.
   void sendRelays(const PeerFrame &Frame, const BoxName &But = BoxName());
-  /// To the linked leaves, of which a small fleet has none.
+  /// Sends \p Frame to all linked leaves; a small fleet has none.
   void sendLeaves(const PeerFrame &Frame);
-  /// What \p From said and all boxes are to hear. Relays are linked to each
-  /// other: what one of them says goes to leaves only, or it would go round.
+  /// Forwards a frame of \p From that is meant for all boxes. Relays are linked
+  /// to each other, so a frame that comes from a relay is forwarded to leaves
+  /// only, or it would circulate.
   void passOn(const PeerFrame &Frame, const BoxName &From);
+  /// The linked boxes.
   const std::set<BoxName> &linked() const { return m_Linked; }
-  /// The relays that are linked; in a small fleet all that are. A copy: a link
-  /// that fails while it is written to leaves the set.
+  /// The linked relays; in a small fleet all linked boxes. Returns a copy, as a
+  /// link that fails during a write is removed from the set.
   std::vector<BoxName> linkedRelays() const;
-  /// Linked boxes by the protocol that they understand.
+  /// Number of linked boxes by the protocol that they understand.
   std::map<PeerProtocol, int> protocols() const;
-  /// Frames of later builds that were left out.
+  /// Number of received frames of unknown kinds, which later builds send.
   std::uint64_t skipped() const { return m_Skipped; }
+  /// Name of this process of the box.
   const BoxName &self() const { return m_Opts.m_Box; }
+  /// Which boxes are relays, and which boxes to link to.
   const FleetTopology &topology() const { return m_Topology; }
-  /// \returns whether that changes the topology.
+  /// Sets the box that leads. \returns whether that changes the topology.
   bool setLeader(const BoxName &Holder);
-  /// This box and the others that are listed or linked.
+  /// This box and all boxes that are listed or linked.
   std::set<BoxName> processes() const;
+  /// Number of known boxes, this one included.
   std::size_t size() const { return processes().size(); }
   /// Whether the store has answered this box within the last two renewals.
   bool storeReached(TimePoint Now) const;
-  /// The store answered some call of this box.
+  /// Records that the store answered a call of this box.
   void noteStoreReached(TimePoint Now) { m_ReachedAt = Now; }
-  /// Takes this box's entry away.
+  /// Removes this box's entry from the store.
   void leave();
 
 private:
@@ -127,16 +136,16 @@
   LeasedKey m_Entry;
   PeerMesh m_Mesh;
   FleetTopology m_Topology;
-  /// What the entry of a box says, decoded once for each of its revisions.
+  /// The entry of a box, decoded once for each of its revisions.
   struct ListedBox {
     StoreRevision m_Revision = 0;
-    std::optional<PeerAddress> m_Address; ///< None when it cannot be used.
+    std::optional<PeerAddress> m_Address; ///< None when the entry is invalid.
     double m_Capacity = 1;
   };
   ListedBox decode(const BoxName &Box, const StoreItem &Item) const;
 
   std::map<BoxName, ListedBox> m_Listed;
-  std::set<BoxName> m_Wanted; ///< Boxes that links are kept to.
+  std::set<BoxName> m_Wanted; ///< Boxes to which links are kept.
   std::set<BoxName> m_Linked;
   std::uint64_t m_Skipped = 0;
   std::map<std::string_view, Sent> m_Sent;
--- a/packages/gateway/process/FleetExchange.cpp
+++ b/packages/gateway/process/FleetExchange.cpp
@@ -18,24 +18,27 @@
 constexpr Duration LoadsInterval = 40ms;
 constexpr Duration LargeFleetLoadsInterval = 120ms;
 
-/// How often a box asks the others while the store is silent.
+/// How often a box requests updates from a peer while the store is unreachable.
 constexpr Duration RequestInterval = 400ms;
 
-/// A word echoes a number that this box told up to 250 ms before the other one
-/// got it, which tells up to 250 ms later; the rest is for the way.
+/// A digest echoes a number that this box sent up to 250 ms before the other
+/// box got it, and that box sends its next digest up to 250 ms later; the rest
+/// is for the transport.
 constexpr Duration UsualEchoDelay = 700ms;
 
-/// A relay, or a leaf, that has said nothing for this long is taken as gone.
+/// A relay or a leaf that has sent nothing for this long counts as gone.
 constexpr Duration NeighbourTimeout = 1s;
-/// Before a relay whose lists are too old is left for another one.
+/// Shortest time with an uplink before another one is taken because its lists
+/// are outdated or a stronger one is linked.
 constexpr Duration MinUplinkTime = 2s;
 
-/// What has changed from \p Before to \p Now; zeros stand for what has ended.
+/// The loads that differ between \p Before and \p Now; zeros stand for loads
+/// that have ended.
 InstanceLoads changes(const InstanceLoads &Before, const InstanceLoads &Now) {
   InstanceLoads Result;
   for (const auto &[Id, Load] : Now) {
-    const auto Known = Before.find(Id);
-    if (Known == Before.end() || Known->second != Load)
+    const auto Previous = Before.find(Id);
+    if (Previous == Before.end() || Previous->second != Load)
       Result[Id] = Load;
   }
   for (const auto &[Id, Load] : Before)
@@ -74,16 +77,16 @@
 }
 
 void FleetExchange::boxesChanged() {
-  const WatchCache::Delta News = m_Deps.m_Boxes.takeChanges();
+  const WatchCache::Delta Changes = m_Deps.m_Boxes.takeChanges();
   if (!m_Leaves.empty())
-    sendToLeaves(ListFollower::keysFrame(m_Deps.m_Boxes, News));
+    sendToLeaves(ListFollower::keysFrame(m_Deps.m_Boxes, Changes));
   onTopologyChanged();
 }
 
 void FleetExchange::linkUp(const BoxName &Box) {
   const FleetTopology &Topology = m_Deps.m_Fleet.topology();
-  // Leaves are told when they choose this box, which few of those do that link
-  // to it.
+  // Leaves get this when they choose this box as their relay; few of those that
+  // link to it do.
   if (!m_Deps.m_Leader.leading() ||
       (!Topology.flat() && !Topology.isRelay(Box)))
     return;
@@ -99,7 +102,7 @@
   m_Clock.forget(Box);
 }
 
-// What is told.
+// Sending.
 
 FleetDigestFrame FleetExchange::makeDigest(TimePoint Now) {
   FleetDigestFrame Frame;
@@ -116,8 +119,8 @@
   if (m_Deps.m_Fleet.setLeader(m_Deps.m_Leader.leader().m_Box))
     onTopologyChanged();
   chooseUplink(Now);
-  // A read that brings nothing new still makes the list that of a later
-  // revision. Boxes that hear of it only by digest would ask for all of it.
+  // A read without changes still raises the list's revision. Boxes that learned
+  // of it only from a digest would request the whole list.
   if (m_Deps.m_Upstreams.revision() != m_SentListRevision)
     upstreamsChanged();
   else
@@ -158,10 +161,11 @@
   const LoadBook &Loads = m_Deps.m_State.m_Loads;
   const std::map<BoxName, Leaf> Leaves = m_Leaves;
   for (const auto &[Name, Each] : Leaves) {
-    // The next one says all that this one would.
+    // The next digest carries everything that this one would.
     if (m_Deps.m_Fleet.slow(Name))
       continue;
-    // What may wait is not there yet, as far as leaves are concerned.
+    // Changes of the list that may wait have not been sent, so leaves are shown
+    // the revision that they were sent.
     Frame.m_List = m_LeafSubsets.sentRevision(m_Deps.m_Fleet.dataCentreOf(Name))
                        .value_or(m_Deps.m_Upstreams.revision());
     Frame.m_LoadsApart = m_Deps.m_Fleet.understands(Name, PackingProtocol);
@@ -174,15 +178,15 @@
   sendLoadTotals(Now);
 }
 
-/// The same for all leaves, so that it is summed up and encoded once: a relay
-/// has no time to do that for each of dozens.
+/// Sends the same totals to all leaves, so that they are summed up and encoded
+/// once: a relay has no time to do that for each of dozens of leaves.
 void FleetExchange::sendLoadTotals(TimePoint Now) {
   if (m_Leaves.empty())
     return;
   const std::uint64_t Before = m_SentTotalsNumber++;
   InstanceLoads Totals =
       m_Deps.m_State.m_Loads.sum([](const BoxName &) { return true; }, Now);
-  const EncodedFrame News(
+  const EncodedFrame Delta(
       FleetTotalsFrame{.m_Number = m_SentTotalsNumber,
                        .m_Since = Before,
                        .m_Loads = changes(m_SentTotals, Totals)});
@@ -198,9 +202,9 @@
       Whole.emplace(FleetTotalsFrame{.m_Number = m_SentTotalsNumber,
                                      .m_Since = 0,
                                      .m_Loads = m_SentTotals});
-    m_Deps.m_Fleet.send(Name, Follows ? News : *Whole);
-    if (const auto Known = m_Leaves.find(Name); Known != m_Leaves.end())
-      Known->second.m_SentTotals = m_SentTotalsNumber;
+    m_Deps.m_Fleet.send(Name, Follows ? Delta : *Whole);
+    if (const auto Recipient = m_Leaves.find(Name); Recipient != m_Leaves.end())
+      Recipient->second.m_SentTotals = m_SentTotalsNumber;
   }
 }
 
@@ -213,7 +217,7 @@
       });
 }
 
-/// Only boxes that tell of nobody but themselves tell of each change at once.
+/// Sends changed loads at once, on boxes that report only their own loads.
 void FleetExchange::sendLoads() {
   const FleetTopology &Topology = m_Deps.m_Fleet.topology();
   if (Topology.relay() && !Topology.flat())
@@ -235,9 +239,10 @@
   receive(m_Deps.m_Fleet.self(), FleetMissingFrame{{Key}});
 }
 
-/// The box that reads for all tells of it at once: with a digest it would be up
-/// to 250 ms later on boxes whose own watches are dead. Relays of a large fleet
-/// read stale answers, which are as new as that after a while only.
+/// The leader, which reads for all, announces a configuration at once: a digest
+/// would be up to 250 ms later on boxes whose own watches are dead. Not in a
+/// large fleet, whose relays make stale reads, which include the new version
+/// only after a while.
 void FleetExchange::configChanged() {
   if (m_Deps.m_Upstreams.running() && m_Deps.m_Fleet.topology().flat())
     sendDigests();
@@ -247,15 +252,15 @@
   m_SentListRevision = m_Deps.m_Upstreams.revision();
   if (!m_Deps.m_Fleet.topology().relay())
     return;
-  const WatchCache::Delta News = m_Deps.m_Upstreams.takeChanges();
+  const WatchCache::Delta Changes = m_Deps.m_Upstreams.takeChanges();
   if (readsForOthers(m_Deps.m_Upstreams))
     m_Deps.m_Fleet.sendRelays(
-        ListFollower::keysFrame(m_Deps.m_Upstreams, News));
+        ListFollower::keysFrame(m_Deps.m_Upstreams, Changes));
   sendListUpdates(false);
 }
 
-/// Always all of them: they are few, and one that a box missed would stand for
-/// days, as nothing else of them may change.
+/// Sends all evacuations each time: they are few, and one that a box missed
+/// would stay missing for days, as nothing else may change.
 void FleetExchange::evacuationsChanged() {
   const WatchCache &Cache = m_Deps.m_Evacuations;
   const FleetKeysFrame Frame = ListFollower::keysFrame(Cache, Cache.snapshot());
@@ -269,25 +274,27 @@
          (m_Deps.m_Fleet.topology().relay() && Cache.running());
 }
 
-/// \p All: at once, also what might wait.
+/// Sends the leaves their changes of the list of upstreams; with \p All also
+/// those that may wait.
 void FleetExchange::sendListUpdates(bool All) {
   const WatchCache &List = m_Deps.m_Upstreams;
-  // A part of the list would pass for the whole one.
+  // A partial list would be taken for the whole one.
   if (m_Leaves.empty() || List.partial())
     return m_LeafSubsets.clear();
   const Shortlist &Subset = m_Deps.m_Registry.subset();
   const TimePoint Now = EventLoop::now();
-  std::map<DataCentreName, std::optional<EncodedFrame>> News;
+  std::map<DataCentreName, std::optional<EncodedFrame>> Updates;
   const std::map<BoxName, Leaf> Leaves = m_Leaves;
   for (const auto &[Name, Each] : Leaves) {
     const DataCentreName At = m_Deps.m_Fleet.dataCentreOf(Name);
-    auto Found = News.find(At);
-    if (Found == News.end())
-      Found =
-          News.emplace(At, m_LeafSubsets.takeUpdate(At, List, Subset, Now, All))
+    auto Update = Updates.find(At);
+    if (Update == Updates.end())
+      Update =
+          Updates
+              .emplace(At, m_LeafSubsets.takeUpdate(At, List, Subset, Now, All))
               .first;
-    if (Found->second)
-      m_Deps.m_Fleet.send(Name, *Found->second);
+    if (Update->second)
+      m_Deps.m_Fleet.send(Name, *Update->second);
   }
 }
 
@@ -295,14 +302,14 @@
   const WatchCache &List = m_Deps.m_Upstreams;
   if (List.partial() || List.revision() == 0)
     return;
-  // What comes next goes on from the same for all.
+  // Later updates continue from the same state for all leaves.
   sendListUpdates(true);
   m_Deps.m_Fleet.send(
       To, m_LeafSubsets.snapshot(m_Deps.m_Fleet.dataCentreOf(To), List,
                                  m_Deps.m_Registry.subset(), EventLoop::now()));
 }
 
-// To whom.
+// Routing.
 
 void FleetExchange::sendToLeaves(const PeerFrame &Frame) {
   if (m_Leaves.empty())
@@ -322,8 +329,8 @@
   });
 }
 
-/// Whether another relay is linked that is of a stronger kind than this leaf,
-/// unlike its uplink.
+/// Whether the preferred relay is linked and of a stronger kind than this leaf,
+/// while its uplink is not.
 bool FleetExchange::strongerUplinkLinked() const {
   const Fleet &Boxes = m_Deps.m_Fleet;
   const FleetTopology &Topology = Boxes.topology();
@@ -333,7 +340,7 @@
          Topology.stronger(Links.front());
 }
 
-/// Stays with one relay while it speaks; then takes the next that is linked.
+/// Keeps the uplink while it sends digests, then takes the next linked relay.
 void FleetExchange::chooseUplink(TimePoint Now) {
   const Fleet &Boxes = m_Deps.m_Fleet;
   const FleetTopology &Topology = Boxes.topology();
@@ -371,13 +378,13 @@
                        {{"relay", m_Uplink.str()}, {"before", Before.str()}});
 }
 
-/// The next box on the way to the one that gives orders.
+/// The next hop towards the leader.
 BoxName FleetExchange::nextHopToLeader() const {
   return m_Deps.m_Fleet.topology().relay() ? m_Deps.m_Leader.leader().m_Box
                                            : m_Uplink;
 }
 
-/// A box that the store turns away learns from those that it serves.
+/// A box that cannot reach the store requests updates from a box that may.
 void FleetExchange::requestFromPeers() {
   const std::set<BoxName> &Linked = m_Deps.m_Fleet.linked();
   if (storeReachable() || Linked.empty())
@@ -389,7 +396,7 @@
   m_Deps.m_Fleet.send(*Peer, m_Lists.makeWantFrame());
 }
 
-// What is taken.
+// Receiving.
 
 void FleetExchange::onFrame(const BoxName &From, const PeerFrame &Frame) {
   std::visit(
@@ -412,7 +419,7 @@
   m_Lists.readIfBehind(Frame, Now);
   if (From == m_Uplink)
     m_UplinkLastDigestAt = Now;
-  // Another relay would tell a leaf again of what its own one has told.
+  // Another relay would repeat to a leaf what its own relay has sent.
   if (!m_Deps.m_Fleet.topology().relay() && From != m_Uplink)
     return;
   if (!Frame.m_LoadsApart)
@@ -427,24 +434,25 @@
   const auto [Place, New] = m_Leaves.try_emplace(From);
   Place->second.m_LastDigestAt = Now;
   m_Lists.configSendQueue().recordVersion(From, Frame.m_Config);
-  // It has none, or some were lost on the way to it.
+  // The leaf has no totals, or missed some.
   if (Frame.m_Totals == 0)
     Place->second.m_SentTotals = 0;
   ServingState &State = m_Deps.m_State;
   State.m_Loads.told(From, Frame.m_Loads, Now);
-  // Told to the other relays as part of this box's own demand.
+  // Sent to the other relays as part of this box's own demand.
   for (const auto &[Key, Demand] : Frame.m_Demand)
     State.m_Demand[Key] += Demand;
   if (!New)
     return;
-  // It may come from a relay that has told it more than this one its leaves.
+  // The leaf may come from a relay that had sent it more than this one has sent
+  // to its leaves.
   sendListUpdates(true);
   if (m_Deps.m_Leader.leading())
     m_Deps.m_Fleet.send(From, m_Deps.m_Leader.contents());
 }
 
-/// By how much longer a word may have been under way than words are in good
-/// times: held up by a link, or unread by this box while it was busy.
+/// By how much longer than usual a digest may have been in transit: delayed by
+/// a link, or unread by this box while it was busy.
 Duration FleetExchange::excessDelay(const FleetDigestFrame &Frame,
                                     TimePoint Now) const {
   const TimePoint SaidAfter = m_Clock.toldAt(Frame.m_Echo);
@@ -481,7 +489,7 @@
   m_Hooks.m_ContentsChanged();
 }
 
-/// Hands on what is missing, on the way to the box that gives orders.
+/// Forwards missing models towards the leader.
 void FleetExchange::receive(const BoxName &From,
                             const FleetMissingFrame &Frame) {
   if (m_Deps.m_Leader.leading())
--- a/packages/gateway/process/FleetExchange.h
+++ b/packages/gateway/process/FleetExchange.h
@@ -1,6 +1,6 @@
 /// \file
-/// What a box tells the other boxes, and what it takes from them.
-/// See docs/design/fleet.md.
+/// The state that a box sends to the other boxes, and receives from them. See
+/// docs/design/fleet.md.
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_FLEETEXCHANGE_H
 #define HAVENSTAIR_GATEWAY_PROCESS_FLEETEXCHANGE_H
 
@@ -23,21 +23,22 @@
 class Fleet;
 class OrderLeader;
 
-/// Runs the exchange along the fleet's topology. Relays tell each other of
-/// themselves and their leaves; a leaf tells one relay, its uplink, and hears
-/// from it of everybody else. News from the order giver go the same ways.
+/// Exchanges state along the fleet's topology. Relays send each other the state
+/// of themselves and their leaves; a leaf sends its state to one relay, its
+/// uplink, and receives from it that of all other boxes. Updates from the
+/// leader take the same routes.
 class FleetExchange {
 public:
   struct Options {
     ListFollower::Options m_Lists;
     RandomUnit m_Random;
   };
-  /// What the exchange reads and changes.
+  /// The objects that the exchange reads and changes.
   using Dependencies = ListFollower::Dependencies;
   struct Hooks {
-    /// Contents of engines were learned.
+    /// Contents of engines have changed.
     std::function<void()> m_ContentsChanged;
-    /// Connections to the store may be dead without saying so.
+    /// Closes the connections to the store, which may be dead without an error.
     std::function<void()> m_DropConnections;
   };
 
@@ -48,24 +49,30 @@
 
   /// The list of boxes has changed.
   void boxesChanged();
+  /// A link to \p Box has been established.
   void linkUp(const BoxName &Box);
+  /// The link to \p Box has ended.
   void linkDown(const BoxName &Box);
+  /// Processes a frame of \p From; ignores kinds that others process.
   void onFrame(const BoxName &From, const PeerFrame &Frame);
-  /// Contents that this box knows as the order giver.
+  /// Sends the engines' contents, which this box knows as the leader, to all
+  /// boxes.
   void publishContents(const FleetContentsFrame &Frame);
-  /// Requests wait for \p Key, which no engine holds.
+  /// Reports to the leader that requests wait for \p Key, which no engine
+  /// holds.
   void reportMissing(const ModelKey &Key);
-  /// A newer configuration was taken.
+  /// A newer configuration has been put into force.
   void configChanged();
   /// The list of upstreams has changed.
   void upstreamsChanged();
   /// The list of evacuations has changed.
   void evacuationsChanged();
-  /// Boxes that this one is the relay of.
+  /// Number of boxes that this one is the relay of.
   std::size_t leafCount() const { return m_Leaves.size(); }
+  /// The copies of the store's lists, and which box keeps them fresh.
   ListFollower &lists() { return m_Lists; }
   const ListFollower &lists() const { return m_Lists; }
-  /// Whether the store has answered this box just now.
+  /// Whether the store has answered this box lately.
   bool storeReachable() const;
 
 private:
@@ -104,27 +111,30 @@
   void receive(const BoxName &From, const FleetContentsFrame &Frame);
   void receive(const BoxName &From, const FleetMissingFrame &Frame);
 
-  /// A box that asked this one to be its relay.
+  /// A box that has chosen this one as its relay.
   struct Leaf {
     TimePoint m_LastDigestAt{};
-    std::uint64_t m_SentTotals = 0; ///< The last that it was told; 0 for none.
+    /// Number of the last totals that it was sent; 0 for none.
+    std::uint64_t m_SentTotals = 0;
   };
 
   EventLoop &m_Loop;
   Dependencies m_Deps;
   Options m_Opts;
   Hooks m_Hooks;
-  FencingToken m_ContentsToken = 0;
+  FencingToken m_ContentsToken = 0; ///< Highest of the contents received.
   EchoClock m_Clock;
   std::map<BoxName, Leaf> m_Leaves;
   LeafSubsets m_LeafSubsets;
-  StoreRevision m_SentListRevision = 0; ///< Of the list that others were told.
-  InstanceLoads m_SentTotals;           ///< As last told to the leaves.
+  /// Revision of the list of upstreams that was last sent.
+  StoreRevision m_SentListRevision = 0;
+  InstanceLoads m_SentTotals; ///< The loads last sent to the leaves.
   std::uint64_t m_SentTotalsNumber = 0;
-  BoxName m_Uplink; ///< Empty on a relay.
+  BoxName m_Uplink; ///< The relay of this box, a leaf; empty on a relay.
   TimePoint m_UplinkSince{};
   TimePoint m_UplinkLastDigestAt{};
-  std::uint64_t m_ReceivedTotalsNumber = 0; ///< From the uplink; 0 for none.
+  /// Number of the last totals from the uplink; 0 for none.
+  std::uint64_t m_ReceivedTotalsNumber = 0;
   ListFollower m_Lists;
   Timer m_DigestTimer;
   Timer m_LoadsTimer;
--- a/packages/gateway/process/Gateway.cpp
+++ b/packages/gateway/process/Gateway.cpp
@@ -13,42 +13,46 @@
 
 namespace {
 
-/// Changes of upstreams that come together cost one call to the store.
+/// Changes of upstreams that come close together cost one call to the store.
 constexpr Duration UpstreamCoalesceDelay = 200ms;
 
-/// The same for boxes; they start together.
+/// The same for boxes, which start together.
 constexpr Duration BoxCoalesceDelay = 300ms;
 /// In a large fleet boxes come and go all the time, and relays that learn of
 /// them a second later lose nothing.
 constexpr Duration LargeFleetBoxCoalesceDelay = 1s;
-/// A box that starts needs to find its relays: all may have started with it.
+/// How long a box counts as starting. It needs to find its relays soon, and all
+/// boxes may have started with it.
 constexpr Duration StartupWindow = 5s;
 
-/// How long a watch may wait before it is asked again. A watch whose connection
-/// was lost on the way says nothing until then: the list of upstreams must not
-/// be older than the time in which a leaving one may still get work. The other
-/// boxes tell of a newer configuration, and new boxes make themselves known.
+/// How long a watch may wait before it is renewed. A watch whose connection was
+/// lost reports nothing until then. These waits may be long because the other
+/// boxes report newer configurations, and new boxes announce themselves. The
+/// list of upstreams is watched with a short wait: it must not be older than
+/// the time in which a draining upstream may still get work.
 constexpr Duration ConfigWatchWait = 20s;
 constexpr Duration BoxWatchWait = 10s;
 
-/// How often the settings are read without a signal.
+/// How often the settings are reloaded without a signal.
 constexpr Duration ReloadInterval = 2s;
 
-/// The balancer needs two questions, a second apart, to see that a box stops.
+/// The load balancer needs two health checks, a second apart, to see that a box
+/// stops.
 constexpr Duration MinStopTime = 3s;
 
-/// What is left of the grace period when the process ends by itself.
+/// Time before the end of the grace period at which the process ends by itself.
 constexpr Duration GraceMargin = 600ms;
 constexpr Duration StopCheckInterval = 100ms;
 constexpr Duration FlushTime = 400ms;
 
-/// Callers' connections may rest longer than the callers themselves use them.
+/// Added to the idle timeout of callers, so that they close idle connections
+/// first.
 constexpr Duration IdleMargin = 10s;
 
-/// Upstreams named in one log line.
+/// Most upstreams that one log line names.
 constexpr std::size_t MaxLoggedNames = 16;
 
-/// Tells one start of a box from another.
+/// Size of the random suffix that tells the processes of a box apart.
 constexpr std::size_t ProcessSuffixBytes = 3;
 
 constexpr const char *MetricsPath = "/metrics";
@@ -84,10 +88,10 @@
                   [this] { m_Fleet.noteStoreReached(EventLoop::now()); }})),
       m_Engines(std::make_unique<ObservedEngineControl>(
           m_Binding.m_MakeEngines(m_UpstreamHttp),
-          [this](const auto &Of, const auto &Report, TimePoint AskedAt) {
-            m_Permits->heard(Of.m_Id, Report.m_ColdFor, AskedAt);
+          [this](const auto &Engine, const auto &Report, TimePoint AskedAt) {
+            m_Permits->heard(Engine.m_Id, Report.m_ColdFor, AskedAt);
             if (Report.m_Leaving)
-              m_Words->heardLeaving(Of.life());
+              m_Signals->heardLeaving(Engine.life());
           })),
       m_Forwarder(
           Loop, m_UpstreamHttp, m_State, m_Binding.m_Dialect, m_Log,
@@ -172,7 +176,7 @@
       m_Permits(std::make_shared<PermitExchange>(
           Loop, m_Fleet,
           PermitExchange::Views{.m_WarmUp = m_State.m_WarmUp,
-                                .m_Words = m_State.m_Words,
+                                .m_Words = m_State.m_Signals,
                                 .m_Bounds = m_State.m_SendBounds},
           m_Log, m_Options.m_Bounds.m_WarmUp,
           PermitExchange::Hooks{
@@ -182,17 +186,17 @@
                   },
               .m_Needless =
                   [this](const BoxName &Box, const InstanceId &Server) {
-                    m_Words->tellNoLimit(Box, m_State.m_WarmUp.life(Server));
+                    m_Signals->tellNoLimit(Box, m_State.m_WarmUp.life(Server));
                   }})),
       m_Crashes(std::make_shared<CrashExchange>(
           Loop, m_UpstreamHttp, *m_Store, m_Fleet, m_State.m_Upstreams,
           m_State.m_Crashes, m_Log, m_Binding.m_OwnPrefix, crashHooks())),
-      m_Words(std::make_shared<ServerWordExchange>(
-          Loop, m_Fleet, m_State.m_Upstreams, m_State.m_Words, m_Log,
+      m_Signals(std::make_shared<ServerWordExchange>(
+          Loop, m_Fleet, m_State.m_Upstreams, m_State.m_Signals, m_Log,
           ServerWordExchange::Hooks{
               .m_LimitsChanged = [this] { m_Permits->refreshRole(); },
               .m_Leaves = [this] { onUpstreamDraining(); }})) {
-  m_Forwarder.setDesks(m_Quotas, m_Permits, m_Crashes, m_Words);
+  m_Forwarder.setDesks(m_Quotas, m_Permits, m_Crashes, m_Signals);
   m_State.setLocation(m_Options.m_DataCentre, m_Options.m_Regions);
   applyBounds();
   startServers();
@@ -227,14 +231,14 @@
                 m_Quotas->onFrame(From, Frame);
                 m_Permits->onFrame(From, Frame);
                 m_Crashes->onFrame(From, Frame);
-                m_Words->onFrame(From, Frame);
+                m_Signals->onFrame(From, Frame);
               },
           .m_Up =
               [this](const BoxName &Box) {
                 m_Exchange.linkUp(Box);
                 m_Permits->refreshRole();
                 m_Crashes->linkUp(Box);
-                m_Words->linkUp(Box);
+                m_Signals->linkUp(Box);
               },
           .m_Down =
               [this](const BoxName &Box) {
@@ -252,8 +256,8 @@
                                 Forwarder::Options{}.m_ConnectTimeout);
                           },
                       .m_ReadAnswer = m_Binding.m_Dialect.m_ReadAnswer,
-                      // It may have started again and be cold, and this word
-                      // comes before the list's.
+                      // The upstream may have restarted and be cold; its answer
+                      // arrives before the updated list.
                       .m_Lives =
                           [this](const UpstreamLife &Server,
                                  const AnswerFacts &Answer, TimePoint AskedAt) {
@@ -261,7 +265,7 @@
                               m_Permits->heard(Server.m_Id, *Answer.m_ColdFor,
                                                AskedAt);
                             if (Answer.m_Leaving)
-                              m_Words->heardLeaving(Server);
+                              m_Signals->heardLeaving(Server);
                           }},
           .m_Changed = [this] { m_Forwarder.crashesChanged(); },
           .m_Asked = [this](auto What) { m_Metrics.serverAsked(What); },
@@ -282,7 +286,8 @@
   m_State.m_Boxes = std::max(m_State.m_Boxes, static_cast<int>(m_Fleet.size()));
 }
 
-/// A connection to the store may be dead without saying so.
+/// Reads everything anew over a new connection: the old one may be dead without
+/// an error.
 void Gateway::resync() {
   m_StoreHttp.forget(m_Options.m_Store);
   m_ConfigCache.resync();
@@ -310,7 +315,8 @@
       [this](const HttpExchangePtr &Exchange) { answerMetrics(Exchange); });
 }
 
-/// A request that comes late in a stop may not end before the process does.
+/// Refuses requests that come late in a stop, as they may not end before the
+/// process does.
 void Gateway::takeRequest(const HttpExchangePtr &Exchange) {
   if (m_State.m_Stopping && EventLoop::now() >= m_LeaveAt)
     return m_Forwarder.refuse(Exchange,
@@ -347,8 +353,9 @@
   Now.m_FencingToken = Number(m_Leader.leader().m_Token);
   Now.m_LogLinesLeftOut = Number(m_Log.leftOut());
   Now.m_BarredRequests = Number(m_State.m_Crashes.bars().size());
-  Now.m_BackedOffServers = Number(m_State.m_Words.backedOff(EventLoop::now()));
-  Now.m_LimitedServers = Number(m_State.m_Words.limits().size());
+  Now.m_BackedOffServers =
+      Number(m_State.m_Signals.backedOff(EventLoop::now()));
+  Now.m_LimitedServers = Number(m_State.m_Signals.limits().size());
   Now.m_Cold = m_State.m_WarmUp.coldByDataCentre(EventLoop::now());
   m_Metrics.set(Now);
   Exchange->reply(200, {{"Content-Type", "text/plain; version=0.0.4"}},
@@ -369,7 +376,8 @@
   m_Quotas->setTolerance(Bounds.quotaTolerance());
   m_Permits->setTolerance(Bounds.m_WarmUp);
   m_Exchange.lists().watchConfigClosely(Bounds.m_FailClosed);
-  // A box that serves when operators begin to evacuate goes on meanwhile.
+  // A box that already serves when operators enable evacuations continues to
+  // serve until it knows them.
   const bool Evacuates = Bounds.m_Evacuation.has_value();
   m_State.m_NeedsEvacuations =
       Evacuates && (m_State.m_NeedsEvacuations || !m_State.hasRequiredState());
@@ -378,7 +386,8 @@
     endEvacuations();
 }
 
-/// Nobody follows them any more, so none may stand for good.
+/// Without evacuations enabled nobody follows their list, so none may remain in
+/// force.
 void Gateway::endEvacuations() {
   if (m_State.m_Upstreams.evacuations().m_DataCentres.empty())
     return;
@@ -386,8 +395,9 @@
                     .m_DataCentres = {}});
 }
 
-/// Where operators ask for it, keys are not trusted when the configuration may
-/// be older than the time in which a key that was taken away must be refused.
+/// Whether API keys may be trusted. With fail-closed set, they may not when the
+/// configuration may be older than the time in which a revoked key must be
+/// refused.
 bool Gateway::mayTrustKeys() const {
   const ServingBounds &Bounds = m_Options.m_Bounds;
   return !Bounds.m_FailClosed ||
@@ -397,10 +407,10 @@
 
 void Gateway::reload() {
   try {
-    GatewayOptions Read = m_Binding.m_ReadOptions();
-    if (Read.m_Bounds == m_Options.m_Bounds)
+    GatewayOptions NewOptions = m_Binding.m_ReadOptions();
+    if (NewOptions.m_Bounds == m_Options.m_Bounds)
       return;
-    m_Options.m_Bounds = Read.m_Bounds;
+    m_Options.m_Bounds = NewOptions.m_Bounds;
     applyBounds();
     m_Leader.setBounds(m_Options.m_Bounds);
     m_Log.write("settings_changed", {{"box", m_Options.m_Box.str()}});
@@ -420,34 +430,36 @@
                               {"next_ms", End.m_NextTry / 1ms}});
 }
 
-void Gateway::logConfig(const ServingConfig &Read, StoreRevision Revision) {
+void Gateway::logConfig(const ServingConfig &Config, StoreRevision Revision) {
   const TimePoint Now = EventLoop::now();
-  const ConfigPursuit::Told &Known = m_Exchange.lists().config().newest();
-  const bool Told = Known.m_Version >= Read.m_Version;
+  const ConfigPursuit::Told &Newest = m_Exchange.lists().config().newest();
+  const bool WasReported = Newest.m_Version >= Config.m_Version;
   const char *Source = toString(m_ConfigCache.source());
   m_Metrics.configTaken(Source);
-  m_Log.write("config",
-              {{"version", Read.m_Version},
-               {"before", m_State.configVersion()},
-               {"routes", Read.m_Routes.size()},
-               {"organisations", Read.m_Organisations.size()},
-               {"revision", Revision},
-               {"source", Source},
-               {"age_ms", m_Exchange.lists().configFreshness(Now).m_Age / 1ms},
-               {"told_by", Told ? Known.m_By.str() : ""},
-               {"told_ms", Told ? Json((Now - Known.m_At) / 1ms) : Json()}});
+  m_Log.write(
+      "config",
+      {{"version", Config.m_Version},
+       {"before", m_State.configVersion()},
+       {"routes", Config.m_Routes.size()},
+       {"organisations", Config.m_Organisations.size()},
+       {"revision", Revision},
+       {"source", Source},
+       {"age_ms", m_Exchange.lists().configFreshness(Now).m_Age / 1ms},
+       {"told_by", WasReported ? Newest.m_By.str() : ""},
+       {"told_ms", WasReported ? Json((Now - Newest.m_At) / 1ms) : Json()}});
 }
 
-/// \returns whether \p Item is a newer configuration than the one in force.
+/// Puts the configuration of \p Item into force. \returns whether it is newer
+/// than the one in force.
 bool Gateway::takeConfig(const StoreItem &Item) {
   const TimePoint Began = EventLoop::now();
   try {
-    ServingConfig Read = m_Binding.m_DecodeConfig(Item.m_Value);
-    if (m_State.m_Config && Read.m_Version <= m_State.configVersion())
+    ServingConfig Config = m_Binding.m_DecodeConfig(Item.m_Value);
+    if (m_State.m_Config && Config.m_Version <= m_State.configVersion())
       return false;
-    logConfig(Read, Item.m_Revision);
-    m_Callers->setIdleTimeout(Read.m_Limits.m_IdleTimeout + IdleMargin);
-    m_State.m_Config = std::make_shared<const ServingConfig>(std::move(Read));
+    logConfig(Config, Item.m_Revision);
+    m_Callers->setIdleTimeout(Config.m_Limits.m_IdleTimeout + IdleMargin);
+    m_State.m_Config = std::make_shared<const ServingConfig>(std::move(Config));
     m_Quotas->configure(m_State.m_Config->m_Organisations);
     m_State.m_WarmUp.configure(m_State.m_Config->m_Services);
     m_Log.write("config_in_force",
@@ -486,12 +498,13 @@
     m_State.forget(Each.m_Id);
     if (Names.size() < MaxLoggedNames)
       Names.push_back(Each.m_Id);
-    // Connections that were kept ended with it; nothing may be sent on them.
+    // Kept connections ended with the upstream's former process; nothing may be
+    // sent on them.
     if (const auto Address = Endpoint::parse(Each.m_Address);
         Address && m_State.m_Upstreams.list().m_Instances.contains(Each.m_Id))
       m_UpstreamHttp.forget(*Address);
   }
-  m_State.m_Words.listed(m_State.m_Upstreams.list(), EventLoop::now());
+  m_State.m_Signals.listed(m_State.m_Upstreams.list(), EventLoop::now());
   m_Permits->listed(m_State.m_Upstreams.list());
   m_Crashes->listed();
   m_Log.write("upstreams",
@@ -507,7 +520,7 @@
   m_Forwarder.releaseEarly();
 }
 
-/// A server said so itself.
+/// An upstream has announced that it is draining.
 void Gateway::onUpstreamDraining() {
   m_Leader.upstreamsChanged();
   m_Forwarder.upstreamsChanged();
@@ -540,7 +553,7 @@
         std::min<Duration>(NoListAge,
                            Now - m_Exchange.lists().evacuationsConfirmedAt()) /
             1ms}});
-  // Engines that come back may have turned cold without a word.
+  // Engines that return may have become cold without a report.
   for (const DataCentreName &Each : Before.m_DataCentres)
     if (!View.evacuations().contains(Each))
       m_State.m_WarmUp.suspectAt(Each, Now);
@@ -557,7 +570,7 @@
   m_BusyAt = Now;
   m_StopAt = Now + m_Options.m_Bounds.m_GracePeriod - GraceMargin;
   m_Callers->closeAfterAnswers();
-  // Those that wait for a load go elsewhere at once.
+  // Requests that wait for a load go elsewhere at once.
   m_Forwarder.upstreamsChanged();
   m_Forwarder.releaseEarly();
   m_Leader.resign();
@@ -570,7 +583,7 @@
   const TimePoint Now = EventLoop::now();
   if (m_Forwarder.open() > 0)
     m_BusyAt = Now;
-  // The last bytes of an answer are still on their way when its request ends.
+  // The last bytes of an answer may still be in transit when its request ends.
   const bool Idle = Now >= m_LeaveAt && Now - m_BusyAt >= FlushTime;
   if (!Idle && Now < m_StopAt)
     return;
--- a/packages/gateway/process/Gateway.h
+++ b/packages/gateway/process/Gateway.h
@@ -33,7 +33,8 @@
 
 namespace havenstair {
 
-/// Puts together what one process needs; all of it runs on one loop.
+/// Owns and connects the components of one process, all of which run on one
+/// event loop.
 class Gateway {
 public:
   /// \throws std::runtime_error when an address cannot be bound.
@@ -44,26 +45,31 @@
   Gateway(const Gateway &) = delete;
   Gateway &operator=(const Gateway &) = delete;
 
-  /// The bound addresses, with their real ports.
+  /// The bound addresses, with their actual ports.
   Endpoint callers() const { return m_Callers->endpoint(); }
   Endpoint readiness() const { return m_Readiness->endpoint(); }
   Endpoint metrics() const { return m_MetricsServer->endpoint(); }
+  /// State that all requests share.
   const ServingState &state() const { return m_State; }
-  /// Requests that have no answer yet.
+  /// Number of requests that have no answer yet.
   std::size_t openRequests() const { return m_Forwarder.open(); }
+  /// Whether this box sends orders to engines.
   bool leading() const { return m_Leader.leading(); }
+  /// Number of linked boxes.
   std::size_t peers() const { return m_Fleet.linked().size(); }
-  /// Entries of the list of upstreams, as far as this box knows them.
+  /// Number of entries of the list of upstreams, as far as this box knows them.
   std::size_t listedUpstreams() const { return m_Registry.size(); }
-  /// Frames that it has sent to other boxes, by kind.
+  /// Frames that this box has sent to other boxes, by kind.
   const std::map<std::string_view, Fleet::Sent> &sent() const {
     return m_Fleet.sent();
   }
+  /// Whether this box watches the list of upstreams itself.
   bool watchesList() const { return m_UpstreamCache.running(); }
 
-  /// Reads the settings again; a bad file leaves the last good ones in force.
+  /// Reloads the settings; an invalid file leaves the last valid ones in force.
   void reload();
-  /// Ends when no request is under way, and before the grace period does.
+  /// Stops the process: the callback that the constructor got is called once no
+  /// request is open, at the latest shortly before the grace period ends.
   void stop();
 
 private:
@@ -78,7 +84,7 @@
   void configChanged();
   bool takeConfig(const StoreItem &Item);
   void logConfigRead(const WatchCache::ReadOutcome &End);
-  void logConfig(const ServingConfig &Read, StoreRevision Revision);
+  void logConfig(const ServingConfig &Config, StoreRevision Revision);
   InstanceList readUpstreams();
   void upstreamsChanged();
   void onUpstreamDraining();
@@ -112,14 +118,14 @@
   WatchCache m_UpstreamCache;
   WatchCache m_OwnKeysCache;
   WatchCache m_EvacuationCache;
-  BoxName m_ProcessName; ///< Name of this start of the process.
+  BoxName m_ProcessName; ///< Name of this process of the box.
   Fleet m_Fleet;
   OrderLeader m_Leader;
   FleetExchange m_Exchange;
   std::shared_ptr<QuotaExchange> m_Quotas;
   std::shared_ptr<PermitExchange> m_Permits;
   std::shared_ptr<CrashExchange> m_Crashes;
-  std::shared_ptr<ServerWordExchange> m_Words;
+  std::shared_ptr<ServerWordExchange> m_Signals;
   std::unique_ptr<HttpServer> m_Callers;
   std::unique_ptr<HttpServer> m_Readiness;
   std::unique_ptr<HttpServer> m_MetricsServer;
--- a/packages/gateway/process/LeaderElection.cpp
+++ b/packages/gateway/process/LeaderElection.cpp
@@ -10,19 +10,21 @@
 
 namespace {
 
-/// Boxes that see the same do not all claim at once: they wait for a drawn part
-/// of the first, after the second. It grows with the boxes that may claim, as a
-/// claim that comes too late costs three calls and the winner is heard of after
-/// 250 ms: of 18 boxes 16 claimed within 300 ms.
+/// Boxes that see no leader wait before they claim, so that they do not all
+/// claim at once: ClaimDelay, plus a random part of a spread that grows with
+/// the number of boxes that may claim. A claim that comes too late costs three
+/// calls, and the others learn of the winner after 250 ms: of 18 boxes 16
+/// claimed within 300 ms.
 constexpr Duration MinClaimSpread = 300ms;
 constexpr Duration ClaimSpreadPerVoter = 100ms;
 constexpr Duration ClaimDelay = 200ms;
 
-/// A holder orders on what it read of its key this long ago. The turn between
-/// two holders is longer than that and the sending of an order together.
+/// A leader may send orders while it knows its key as of this long ago. The
+/// handover between two leaders takes longer than that and the sending of an
+/// order together.
 constexpr Duration MaxKeyAge = 1900ms;
 
-/// A process that did nothing for this long stood still.
+/// A process whose ticks are this far apart was suspended.
 constexpr Duration PauseThreshold = 500ms;
 
 constexpr const char *LeaderKey = "giver";
@@ -56,9 +58,9 @@
 }
 
 void LeaderElection::recordPeerView(const BoxName &From,
-                                    const OrderHolder &Known, bool Giving,
+                                    const OrderHolder &Leader, bool Giving,
                                     TimePoint SaidAfter) {
-  m_View.heard(From, Known, Giving, SaidAfter, EventLoop::now());
+  m_View.heard(From, Leader, Giving, SaidAfter, EventLoop::now());
   stopIfReplaced();
 }
 
@@ -84,7 +86,7 @@
     m_Key.release();
 }
 
-/// Nobody gives orders, as far as this box and a majority know.
+/// Whether this box and a majority know of no active leader.
 bool LeaderElection::mayClaim(TimePoint Now) const {
   return m_EntriesKnown && m_Eligible && m_Hooks.m_Prepared() &&
          m_View.hearsMajority(Now) && !m_View.holderActive(Now);
@@ -95,7 +97,7 @@
     m_ClaimFrom.reset();
     return false;
   }
-  // The machine that gave the last orders may go on at once.
+  // The machine that led last may continue at once.
   const bool Own = m_TermMachine == m_Opts.m_Machine;
   if (!m_ClaimFrom && Own)
     m_ClaimFrom = Now;
@@ -137,7 +139,7 @@
   m_Hooks.m_Lost();
 }
 
-/// A process that stood still believes what was true before.
+/// Detects that the process was suspended: what it knew before may be outdated.
 void LeaderElection::noticePause(TimePoint Now) {
   if (!m_Eligible) {
     m_TickedAt = TimePoint{};
--- a/packages/gateway/process/LeaderElection.h
+++ b/packages/gateway/process/LeaderElection.h
@@ -1,6 +1,6 @@
 /// \file
-/// Which box gives orders: the key in the store and what the boxes say of it.
-/// See docs/design/orders.md.
+/// Election of the box that sends orders to engines, by a key in the store and
+/// by what the boxes report of it. See docs/design/orders.md.
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_LEADERELECTION_H
 #define HAVENSTAIR_GATEWAY_PROCESS_LEADERELECTION_H
 
@@ -17,33 +17,37 @@
 
 class DecisionLog;
 
-/// Holds the order giver's key under a lease; its revision is the fencing
-/// token. Claims the key when a majority of the voters is heard and the holder
-/// is not.
+/// Holds the leader's key under a lease; the key's revision is the fencing
+/// token. Claims the key when this box receives digests of a majority of the
+/// voters and none of an active leader.
 class LeaderElection {
 public:
   struct Options {
-    std::string m_Prefix;  ///< Of the keys that this writes.
-    std::string m_Machine; ///< This machine; the same for all its starts.
-    std::string m_Process; ///< This start of the process.
-    /// Long, so that orders go on while the store is down. Another box takes
-    /// over by replacing the key, not by waiting for its end.
+    std::string m_Prefix; ///< Prefix of the keys that this box may write.
+    /// Name of this machine; the same for all its processes.
+    std::string m_Machine;
+    std::string m_Process; ///< Name of this process.
+    /// Long, so that the leader goes on while the store is unreachable. Another
+    /// box takes over by replacing the key, not by waiting for the lease to
+    /// end.
     Duration m_Lease = 20s;
   };
-  /// Whose turn ended when this box took the key.
+  /// The leader before this box took the key.
   struct Predecessor {
     std::string m_Machine;
-    bool m_None = false;        ///< Nobody ever gave orders.
-    bool m_SameMachine = false; ///< An earlier start on this machine.
+    bool m_None = false;        ///< There never was a leader.
+    bool m_SameMachine = false; ///< It was an earlier process of this machine.
   };
   struct Hooks {
+    /// This box has taken the key.
     std::function<void(const Predecessor &)> m_Elected;
+    /// This box has lost the key, or can no longer be sure of it.
     std::function<void()> m_Lost;
-    /// Whether this process knows enough to give orders.
+    /// Returns whether this process knows enough to lead.
     std::function<bool()> m_Prepared;
-    /// When the store's keys, the holder's among them, were last read.
+    /// Returns as of when the store's keys, the leader's among them, are known.
     std::function<TimePoint()> m_KeysReadAt;
-    std::function<double()> m_Random; ///< From 0 to 1.
+    std::function<double()> m_Random; ///< Returns a random number from 0 to 1.
   };
 
   LeaderElection(CoordinationStore &Store, DecisionLog &Log, Options Opts,
@@ -51,26 +55,32 @@
   LeaderElection(const LeaderElection &) = delete;
   LeaderElection &operator=(const LeaderElection &) = delete;
 
-  /// The store's keys have changed; \p Items are those of the whole prefix.
+  /// The store's keys have changed; \p Items are all keys under the prefix.
   void entriesChanged(const std::map<std::string, StoreItem> &Items);
-  /// Another box told whom it knows to give orders.
-  void recordPeerView(const BoxName &From, const OrderHolder &Known,
+  /// Records which leader \p From knows, and whether \p From leads itself, by a
+  /// report that was sent no earlier than \p SaidAfter.
+  void recordPeerView(const BoxName &From, const OrderHolder &Leader,
                       bool Giving, TimePoint SaidAfter);
-  /// The other boxes whose majority decides, and whether this one may claim.
+  /// Sets the other boxes whose majority decides, and whether this box may
+  /// claim.
   void setVoters(std::set<BoxName> Others, bool Eligible);
+  /// The link to \p Box is gone.
   void boxLost(const BoxName &Box) { m_View.forget(Box); }
-  /// Renews or claims the key when that is due.
+  /// Renews or claims the key when that is due; to be called often.
   void tick(TimePoint Now);
-  /// Gives the key up.
+  /// Gives up the key.
   void release() { m_Key.release(); }
 
+  /// The newest leader that this box knows.
   const OrderHolder &leader() const { return m_View.holder(); }
+  /// Whether this box may claim the key.
   bool eligible() const { return m_Eligible; }
-  /// Whether this box has the key, as far as it knows.
+  /// Whether this box holds the key, as far as it knows.
   bool leading() const { return m_Leading; }
+  /// Fencing token of this box's last term as the leader; 0 before the first.
   FencingToken token() const { return m_Token; }
-  /// Whether an order may be sent now: the lease runs, and the key's state was
-  /// read lately or a majority vouches for this box.
+  /// Whether an order may be sent now: the lease has not expired, and either
+  /// the key was read lately or a majority confirms this box as the leader.
   bool confirmed(TimePoint Now) const;
 
 private:
@@ -89,7 +99,7 @@
   LeasedKey m_Key;
   bool m_EntriesKnown = false;
   bool m_Eligible = true;
-  std::ptrdiff_t m_Voters = 0;     ///< Other boxes that may claim.
+  std::ptrdiff_t m_Voters = 0;     ///< Number of other boxes that may claim.
   StoreRevision m_KeyRevision = 0; ///< 0 when nobody holds the key.
   StoreRevision m_TermRevision = 0;
   std::string m_TermMachine;
--- a/packages/gateway/process/LeafSubsets.cpp
+++ b/packages/gateway/process/LeafSubsets.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 
-/// A leaf goes through all that it knows at each change: with this rest that
-/// takes a small part of its processor, however much it knows.
+/// A leaf processes all entries that it knows at each change: with this pause
+/// per entry that takes a small part of its processor, however many entries it
+/// knows.
 constexpr Duration PausePerEntry = 1ms;
 
 } // namespace
@@ -25,14 +26,15 @@
   return Result;
 }
 
-/// Whether an upstream that is known has left or begins to.
+/// Whether an upstream that the leaves know has left the list or begins to
+/// drain.
 bool LeafSubsets::urgent(const Keys &Before, const Keys &Now,
                          const WatchCache &List) {
   return std::any_of(Before.begin(), Before.end(), [&](const auto &Each) {
-    const auto Known = Now.find(Each.first);
-    return Known == Now.end()
+    const auto Match = Now.find(Each.first);
+    return Match == Now.end()
                ? !List.items().contains(Each.first)
-               : Known->second.m_Draining && !Each.second.m_Draining;
+               : Match->second.m_Draining && !Each.second.m_Draining;
   });
 }
 
@@ -44,9 +46,9 @@
                            .m_Items = {},
                            .m_Gone = {}};
   for (const auto &[Name, Each] : Now) {
-    const auto Known = State.m_Keys.find(Name);
-    if (Known == State.m_Keys.end() ||
-        Known->second.m_Revision != Each.m_Revision)
+    const auto Sent = State.m_Keys.find(Name);
+    if (Sent == State.m_Keys.end() ||
+        Sent->second.m_Revision != Each.m_Revision)
       Update.m_Items.push_back(List.items().at(Name));
   }
   for (const auto &[Name, Each] : State.m_Keys)
@@ -63,38 +65,38 @@
 LeafSubsets::takeUpdate(const DataCentreName &DataCentre,
                         const WatchCache &List, const Shortlist &Subset,
                         TimePoint Now, bool AtOnce) {
-  const auto Found = m_Lists.find(DataCentre);
-  if (Found == m_Lists.end() || Found->second.m_Revision == List.revision())
+  const auto Entry = m_Lists.find(DataCentre);
+  if (Entry == m_Lists.end() || Entry->second.m_Revision == List.revision())
     return std::nullopt;
-  SentState &Known = Found->second;
+  SentState &State = Entry->second;
   Keys Next = keys(Subset.forDataCentre(DataCentre), List);
   const auto Entries = static_cast<Duration::rep>(Next.size());
-  const bool Rested = Now - Known.m_SentAt >= Entries * PausePerEntry;
-  if (!AtOnce && !Rested && !urgent(Known.m_Keys, Next, List))
+  const bool Rested = Now - State.m_SentAt >= Entries * PausePerEntry;
+  if (!AtOnce && !Rested && !urgent(State.m_Keys, Next, List))
     return std::nullopt;
-  return encodeDelta(Known, std::move(Next), List, Now);
+  return encodeDelta(State, std::move(Next), List, Now);
 }
 
 const EncodedFrame &LeafSubsets::snapshot(const DataCentreName &DataCentre,
                                           const WatchCache &List,
                                           const Shortlist &Subset,
                                           TimePoint Now) {
-  SentState &Known = m_Lists[DataCentre];
-  if (!Known.m_Snapshot) {
-    // All is news to one who knows nothing.
-    Known = SentState();
+  SentState &State = m_Lists[DataCentre];
+  if (!State.m_Snapshot) {
+    // Starting from an empty state, every key is a change.
+    State = SentState();
     EncodedFrame All = encodeDelta(
-        Known, keys(Subset.forDataCentre(DataCentre), List), List, Now);
-    Known.m_Snapshot.emplace(std::move(All));
+        State, keys(Subset.forDataCentre(DataCentre), List), List, Now);
+    State.m_Snapshot.emplace(std::move(All));
   }
-  return *Known.m_Snapshot;
+  return *State.m_Snapshot;
 }
 
 std::optional<StoreRevision>
 LeafSubsets::sentRevision(const DataCentreName &DataCentre) const {
-  const auto Found = m_Lists.find(DataCentre);
-  return Found == m_Lists.end() ? std::nullopt
-                                : std::optional(Found->second.m_Revision);
+  const auto Entry = m_Lists.find(DataCentre);
+  return Entry == m_Lists.end() ? std::nullopt
+                                : std::optional(Entry->second.m_Revision);
 }
 
 } // namespace havenstair
--- a/packages/gateway/process/LeafSubsets.h
+++ b/packages/gateway/process/LeafSubsets.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a relay tells its leaves of the list of upstreams.
+/// The subset of the list of upstreams that a relay sends to its leaves.
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_LEAFSUBSETS_H
 #define HAVENSTAIR_GATEWAY_PROCESS_LEAFSUBSETS_H
 
@@ -13,31 +13,31 @@
 
 namespace havenstair {
 
-/// The shortlist of each data centre in which this box has leaves, as keys of
-/// the store. Leaves that follow the whole list would take all of a small
-/// box's processor for upstreams that they never use. Each frame is made once
-/// for all leaves of a data centre.
+/// Keeps, for each data centre in which this box has leaves, the subset of the
+/// list of upstreams that they need, as keys of the store. Following the whole
+/// list would take all of a small box's processor for upstreams that it never
+/// uses. Each frame is encoded once for all leaves of a data centre.
 class LeafSubsets {
 public:
-  /// The list is \p List, of which \p Of is the shortlist. \returns what has
-  /// changed for the leaves of \p DataCentre, when it is time to tell them: at
-  /// once when an upstream leaves that they know, otherwise after a rest that
-  /// grows with what they take up each time; at any time with \p AtOnce. None
-  /// when nothing was ever told.
+  /// Returns the changes for the leaves of \p DataCentre, when they are due: at
+  /// once when an upstream that they know leaves or begins to drain, otherwise
+  /// after a pause that grows with the time the leaves need to apply an update;
+  /// at any time with \p AtOnce. \p Subset is the subset of \p List. \returns
+  /// none when nothing is due or nothing was sent before.
   std::optional<EncodedFrame> takeUpdate(const DataCentreName &DataCentre,
                                          const WatchCache &List,
                                          const Shortlist &Subset, TimePoint Now,
                                          bool AtOnce = false);
-  /// All keys for the leaves of \p DataCentre. They must have been told all
-  /// news: what comes next goes on from it.
+  /// Returns all keys for the leaves of \p DataCentre. They must have been sent
+  /// all updates before: the next update continues from this frame.
   const EncodedFrame &snapshot(const DataCentreName &DataCentre,
                                const WatchCache &List, const Shortlist &Subset,
                                TimePoint Now);
-  /// Revision of the list that the leaves of \p DataCentre were told; none
-  /// before.
+  /// Revision of the list that was last sent to the leaves of \p DataCentre;
+  /// none when nothing was sent.
   std::optional<StoreRevision>
   sentRevision(const DataCentreName &DataCentre) const;
-  /// No leaves are left.
+  /// Forgets what was sent, when no leaves are left.
   void clear() { m_Lists.clear(); }
 
 private:
@@ -46,12 +46,14 @@
     bool m_Draining = false;
   };
   using Keys = std::map<std::string, Key>;
+  /// What was last sent to the leaves of a data centre.
   struct SentState {
     StoreRevision m_Revision = 0;
     TimePoint m_SentAt{};
     Keys m_Keys;
     std::optional<EncodedFrame>
-        m_Snapshot; ///< As of m_At, once it was asked for.
+        /// The whole subset as of m_Revision, once it was requested.
+        m_Snapshot;
   };
 
   static Keys keys(const Shortlist::Chosen &Upstreams, const WatchCache &List);
--- a/packages/gateway/process/LeasedKey.cpp
+++ b/packages/gateway/process/LeasedKey.cpp
@@ -105,8 +105,9 @@
                        m_Claimed = true;
                        return m_Hooks.m_Claimed(Revision);
                      }
-                     // Somebody else has the key, or an unanswered write may
-                     // yet put it there: without its lease it does not stay.
+                     // Another box has the key, or a write whose answer was
+                     // lost may still take effect: ending the lease removes
+                     // that key.
                      if (Status != StoreStatus::Refused)
                        release();
                    }));
--- a/packages/gateway/process/LeasedKey.h
+++ b/packages/gateway/process/LeasedKey.h
@@ -1,5 +1,5 @@
 /// \file
-/// A key of the store that exists while this process keeps a lease.
+/// Keys of the store that exist while this process keeps a lease.
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_LEASEDKEY_H
 #define HAVENSTAIR_GATEWAY_PROCESS_LEASEDKEY_H
 
@@ -12,28 +12,30 @@
 
 namespace havenstair {
 
-/// Takes a lease, writes its keys under it, and renews it. Whether the lease
-/// is held is judged by this process's own clock from when the last good call
-/// was sent, so a frozen process finds its lease ended when it wakes.
+/// Acquires a lease, writes keys under it, and renews it. The lease counts from
+/// when the last successful call was sent, by this process's own clock, so that
+/// a process that was suspended finds its lease expired when it resumes.
 class LeasedKey {
 public:
   struct Options {
     Duration m_TimeToLive = 3s;
     Duration m_RenewEvery = 1s;
+    /// The lease counts as expired this long before the store would end it.
     Duration m_Margin = 300ms;
-    /// Each try is paid for, also while the store turns it away.
+    /// Backoff after a failed call; each call costs money, also one that the
+    /// store refuses.
     Backoff::Options m_Retry{
         .m_First = 200ms, .m_Cap = 500ms, .m_Random = [] { return 1.0; }};
   };
   struct Hooks {
-    /// The transaction that writes the keys under \p Lease; empty when it is
-    /// not to be written now.
+    /// Returns the transaction that writes the keys under \p Lease; an empty
+    /// optional when they are not to be written now.
     std::function<std::optional<StoreTransaction>(LeaseId Lease)> m_Claim;
     /// The keys are written; \p Revision is that of the transaction.
     std::function<void(StoreRevision Revision)> m_Claimed;
-    /// They may be gone.
+    /// The keys may be gone.
     std::function<void()> m_Lost;
-    /// An answer came, or none.
+    /// A call ended. \p Reached: the store answered, and did not refuse.
     std::function<void(bool Reached)> m_Answered;
   };
 
@@ -41,15 +43,15 @@
   LeasedKey(const LeasedKey &) = delete;
   LeasedKey &operator=(const LeasedKey &) = delete;
 
-  /// Makes the next call when one is due.
+  /// Makes the next call when one is due; to be called often.
   void tick(TimePoint Now);
   /// Whether the keys are written and the lease runs.
   bool held(TimePoint Now) const;
-  /// Ends the lease, and with it the keys.
+  /// Ends the lease, which removes the keys, and starts over after a backoff.
   void release();
-  /// Takes effect from the next renewal on.
+  /// Takes effect with the next renewal.
   void setRenewEvery(Duration Every);
-  /// Pauses between tries while the store does not answer.
+  /// Backoff while the store does not answer.
   void setRetry(const RetryPauses &Pauses) { m_Backoff.setPauses(Pauses); }
 
 private:
@@ -58,7 +60,8 @@
   void claim(TimePoint Now);
   void onAnswer(StoreStatus Status);
   void onLost();
-  /// A callback that is dropped when this object is gone or has started anew.
+  /// Wraps a callback so that it is dropped when this object is gone or has
+  /// started over.
   template <typename Call> auto guarded(Call Then);
 
   CoordinationStore &m_Store;
@@ -69,6 +72,7 @@
   LeaseId m_Lease = 0;
   bool m_Claimed = false;
   bool m_Claiming = false;
+  /// Answers to calls of an earlier generation are dropped.
   std::uint64_t m_Generation = 0;
   std::shared_ptr<bool> m_Alive = std::make_shared<bool>(true);
 };
--- a/packages/gateway/process/ListFollower.cpp
+++ b/packages/gateway/process/ListFollower.cpp
@@ -11,61 +11,62 @@
 
 namespace {
 
-/// A box reads the store itself when what it is told is older than this. The
-/// oldest that a relay hears of in good times is 1.2 s: a watch waits 0.9 s, a
-/// digest 0.25 s. All lie below the 2 s for which platforms let a leaving
-/// upstream take work. Relays read one after the other, and leaves last, as a
-/// digest of the first that succeeds spares the others their calls.
+/// A relay reads the store itself when its copy is older than this; by rank, so
+/// that they read one after the other, and leaves last, as a digest of the
+/// first that succeeds spares the others their calls. In normal operation the
+/// oldest age that a relay sees is 1.2 s: a watch waits 0.9 s, and a digest
+/// takes 0.25 s. All ages lie below the 2 s for which platforms let a draining
+/// upstream get work.
 constexpr std::array<Duration, 3> RelayMaxListAges{1400ms, 1600ms, 1750ms};
 constexpr Duration LeafMaxListAgeFloor = 1400ms;
 constexpr Duration LeafMaxListAgeCeiling = 2400ms;
-/// Age of what a leaf was told of evacuations from which on it reads them
-/// itself. Operators give boxes 5 s.
+/// A leaf reads the evacuations itself when its copy is older than this.
+/// Operators give boxes 5 s.
 constexpr Duration LeafMaxEvacuationAge = 3500ms;
 
-/// What is left then of the time in which a leaving upstream takes work: for
-/// the read and for a request on its way.
+/// Part of the drain timeout that is left for the read and for a request on its
+/// way.
 constexpr Duration ReadAndSendTime = 600ms;
 
-/// Pauses between tries of a box to read the store. Relays tell their leaves as
-/// soon as the store is back, so that these need not ask it: with the pauses of
-/// a relay each leaf of a data centre that was cut off made 13 calls in 2 s.
+/// Backoff of reads of the store. Relays send updates to their leaves as soon
+/// as the store is back, so leaves need not try as often: with the backoff of a
+/// relay each leaf of a data centre that was cut off made 13 calls in 2 s.
 constexpr RetryPauses RelayRetry{.m_First = 100ms, .m_Cap = 1s};
 constexpr RetryPauses LeafRetry{.m_First = 500ms, .m_Cap = 5s};
 
-/// Changes of the list that come together cost one call, and one pass over all
-/// of its entries. Engines change their entries all the time, and a leaf reads
-/// only while no relay does.
+/// Changes of the list that come close together cost one call, and one pass
+/// over all entries. Engines change their entries all the time, and a leaf
+/// reads only while no relay does.
 constexpr Duration RelayCoalesceDelay = 200ms;
 constexpr Duration RelayCoalesceDelayPerEntry = 100us;
 constexpr Duration MaxRelayCoalesceDelay = 500ms;
 constexpr Duration LeafCoalesceDelay = 1s;
 
-/// A box that has come to know much newer lists tells of it at once: the boxes
-/// behind it are about to read for themselves.
+/// A box whose lists become newer by this much sends a digest at once: the
+/// boxes behind it are about to read the store themselves.
 constexpr Duration MuchNewerBy = 500ms;
 
 constexpr Duration ChooseSourceInterval = 100ms;
 
-/// Another box's lists are asked for when they are newer by this than those of
+/// Another box's lists are requested when they are newer by this than those of
 /// the box that is followed.
 constexpr Duration NewerSourceBy = 500ms;
 
 constexpr Duration RereadInterval = 1s;
 
-/// A box that starts waits this long for the list of boxes, and a leaf for its
+/// A starting box waits this long for the list of boxes, and a leaf for its
 /// uplink, before it reads the list of upstreams itself. When the whole fleet
 /// starts, boxes enter the list within some tenths of a second.
 constexpr Duration BoxesTimeout = 700ms;
 constexpr Duration UplinkTimeout = 2s;
-/// The same for what its uplink knows, once it has one.
+/// How long a starting leaf that has an uplink waits for that uplink's lists.
 constexpr Duration ListsTimeout = 10s;
 
-/// Longest list, as a leaf knows it, that a leaf reads itself: the store gives
-/// as much in one call. Of longer ones each read takes dozens of calls, and all
-/// leaves of a data centre begin at once.
+/// Longest list, as a leaf knows it, that a leaf reads itself: the store
+/// returns this many entries in one call. A read of a longer list takes dozens
+/// of calls, and all leaves of a data centre would begin at once.
 constexpr std::size_t MaxLeafReadEntries = 500;
-/// How long an uplink may tell of lists that are too old.
+/// How long an uplink may send outdated lists before another one is tried.
 constexpr Duration UplinkOutdatedAfter = 2s;
 
 } // namespace
@@ -103,12 +104,13 @@
   m_ConfigSendQueue.forget(Box);
 }
 
-/// The watch of the configuration that nobody vouches for waits for seconds,
-/// and may be dead as long. So the box that reads the list for all watches the
-/// configuration closely too, and its word of both is what others rely on: one
-/// box that asks is always known by name, and without it each asks for itself.
+/// A watch of the configuration that is not watched closely waits for many
+/// seconds, and may be dead for as long. So the box that reads the list for all
+/// also watches the configuration closely, and the others rely on what it
+/// reports of both: without one box that is known to ask, each would have to
+/// ask for itself.
 void ListFollower::watchClosely() {
-  // The box that gives orders must hear at once that it was replaced.
+  // The leader must learn at once that it was replaced.
   m_Deps.m_Boxes.watchClosely(m_Deps.m_Leader.leading());
   m_Deps.m_Config.watchClosely(m_ConfigClosely || m_Deps.m_Upstreams.running());
 }
@@ -124,11 +126,11 @@
   m_SentConfirmedAt = Now - Frame.m_ListAge;
 }
 
-/// Made once for all boxes that ask for it at one time.
+/// Encoded once for all boxes that request it at the same revision.
 const EncodedFrame &ListFollower::encodedSnapshot(const WatchCache &Cache) {
-  const auto Known = m_Snapshots.find(Cache.prefix());
-  if (Known != m_Snapshots.end() && Known->second.m_At == Cache.revision())
-    return Known->second.m_Frame;
+  const auto Cached = m_Snapshots.find(Cache.prefix());
+  if (Cached != m_Snapshots.end() && Cached->second.m_At == Cache.revision())
+    return Cached->second.m_Frame;
   EncodedSnapshot Copy{.m_At = Cache.revision(),
                        .m_Frame =
                            EncodedFrame(keysFrame(Cache, Cache.snapshot()))};
@@ -143,7 +145,8 @@
     m_Deps.m_Fleet.send(To, encodedSnapshot(m_Deps.m_Evacuations));
 }
 
-/// How long ago this box's copies were the store's state, whoever read it.
+/// Time since this box's copies were confirmed as the store's state, whoever
+/// read it.
 Duration ListFollower::age(TimePoint Now) const {
   TimePoint At = std::min(listConfirmedAt(), configConfirmedAt());
   if (m_FollowEvacuations)
@@ -151,8 +154,8 @@
   return std::min<Duration>(NoListAge, Now - At);
 }
 
-/// A copy only ever becomes newer: what was once known of it stays true, also
-/// while this box begins to read it and knows nothing by itself yet.
+/// A copy only becomes newer: a confirmation stays valid, also when this box
+/// begins to read and has not confirmed the copy itself yet.
 TimePoint ListFollower::listConfirmedAt() const {
   return std::max(m_ListConfirmedAt, confirmedAtOf(m_Deps.m_Upstreams));
 }
@@ -163,7 +166,7 @@
 
 TimePoint ListFollower::configConfirmedAt() const {
   const TimePoint Own = m_Deps.m_Config.confirmedAt();
-  // The box that reads for all goes by what it has read.
+  // The box that reads for all relies only on its own reads.
   return m_Deps.m_Upstreams.running()
              ? Own
              : std::max(Own, peerConfirmedAt(m_ListSource));
@@ -178,7 +181,7 @@
   return confirmedAtOf(m_Deps.m_Evacuations);
 }
 
-/// Age from which on this box reads the store itself.
+/// Age of the lists from which on this box reads the store itself.
 Duration ListFollower::maxListAge() const {
   const FleetTopology &Topology = m_Deps.m_Fleet.topology();
   if (!Topology.relay())
@@ -199,12 +202,14 @@
           .m_Evacuations = m_Deps.m_Evacuations.revision()};
 }
 
-/// A relay that was a leaf knows only what a leaf needs.
+/// Whether this box, a relay that was a leaf, has only the keys that a leaf
+/// needs.
 bool ListFollower::needsFullList() const {
   return m_Deps.m_Upstreams.partial() && m_Deps.m_Fleet.topology().relay();
 }
 
-/// Whether this box, a leaf, does not read the list of upstreams itself.
+/// Whether this box is a leaf that leaves reading the list of upstreams to its
+/// uplink.
 bool ListFollower::followsUplink() const {
   return !m_Deps.m_Fleet.topology().relay() &&
          m_Deps.m_Upstreams.items().size() > MaxLeafReadEntries &&
@@ -217,14 +222,14 @@
 }
 
 FleetKeysFrame ListFollower::keysFrame(const WatchCache &Cache,
-                                       const WatchCache::Delta &News) {
+                                       const WatchCache::Delta &Changes) {
   FleetKeysFrame Frame{.m_Prefix = Cache.prefix(),
-                       .m_Since = News.m_Since,
-                       .m_Revision = News.m_Revision,
-                       .m_Part = News.m_Part,
+                       .m_Since = Changes.m_Since,
+                       .m_Revision = Changes.m_Revision,
+                       .m_Part = Changes.m_Part,
                        .m_Items = {},
-                       .m_Gone = News.m_Gone};
-  for (const StoreItem &Item : News.m_Items)
+                       .m_Gone = Changes.m_Gone};
+  for (const StoreItem &Item : Changes.m_Items)
     Frame.m_Items.push_back({.m_Key = Item.m_Key,
                              .m_Value = Item.m_Value,
                              .m_Revision = Item.m_Revision});
@@ -232,40 +237,40 @@
 }
 
 WatchCache::Delta ListFollower::deltaIn(const FleetKeysFrame &Frame) {
-  WatchCache::Delta News{.m_Since = Frame.m_Since,
-                         .m_Revision = Frame.m_Revision,
-                         .m_Part = Frame.m_Part,
-                         .m_Items = {},
-                         .m_Gone = Frame.m_Gone};
+  WatchCache::Delta Changes{.m_Since = Frame.m_Since,
+                            .m_Revision = Frame.m_Revision,
+                            .m_Part = Frame.m_Part,
+                            .m_Items = {},
+                            .m_Gone = Frame.m_Gone};
   for (const StoredValue &Each : Frame.m_Items)
-    News.m_Items.push_back({.m_Key = Each.m_Key,
-                            .m_Value = Each.m_Value,
-                            .m_Revision = Each.m_Revision});
-  return News;
+    Changes.m_Items.push_back({.m_Key = Each.m_Key,
+                               .m_Value = Each.m_Value,
+                               .m_Revision = Each.m_Revision});
+  return Changes;
 }
 
 TimePoint ListFollower::peerConfirmedAt(const BoxName &Box) const {
-  const auto Found = m_PeerLists.find(Box);
-  if (Found == m_PeerLists.end())
+  const auto Entry = m_PeerLists.find(Box);
+  if (Entry == m_PeerLists.end())
     return {};
-  const PeerLists &Word = Found->second;
-  const bool Behind = listsBehind(Word.m_Newest) ||
-                      Word.m_Newest.m_Config > makeWantFrame().m_Config;
-  return Behind ? Word.m_ConfirmedBefore : Word.m_ConfirmedAt;
+  const PeerLists &Peer = Entry->second;
+  const bool Behind = listsBehind(Peer.m_Newest) ||
+                      Peer.m_Newest.m_Config > makeWantFrame().m_Config;
+  return Behind ? Peer.m_ConfirmedBefore : Peer.m_ConfirmedAt;
 }
 
 bool ListFollower::confirms(const BoxName &Box, TimePoint Now) const {
   return Now - peerConfirmedAt(Box) <= maxListAge();
 }
 
-/// The box that gives orders watches the list for all, and relays pass it on,
-/// as they do the list of boxes: every box that watches pays for each change.
-/// While the store turns that box away, another relay reads in its place.
+/// The leader watches the list for all, and relays distribute it, like the list
+/// of boxes: every box that watches pays for each change. While the store
+/// refuses the leader, another relay reads in its place.
 BoxName ListFollower::listSource(TimePoint Now) const {
   const BoxName First = m_Hooks.m_NextHopToLeader();
   if (confirms(First, Now) || !m_Deps.m_Fleet.topology().relay())
     return First;
-  // Of several that read, all but the first by name stop.
+  // Of several boxes that read, all but the first by name stop.
   const bool Reads = m_Deps.m_Upstreams.running();
   const auto Other = std::find_if(
       m_PeerLists.begin(), m_PeerLists.end(), [&](const auto &Each) {
@@ -295,16 +300,17 @@
   const bool HasList = m_Deps.m_Upstreams.revision() > 0;
   const bool HasConfig = m_Deps.m_State.m_Config != nullptr;
   if (Relayed || !awaitsFirstList(Now)) {
-    // What silenced the box that reads may have silenced these connections too.
+    // What cut off the box that reads may have cut off these connections too.
     if (!Relayed && !m_Deps.m_Upstreams.running())
       m_Hooks.m_DropConnections();
     setRelayed(m_Deps.m_Upstreams, (Relayed || followsUplink()) && HasList);
     setRelayed(m_Deps.m_Evacuations, skipsEvacuations(Now, Relayed));
-    // A leaf that the store turns away does not try for both.
+    // A leaf that cannot reach the store does not try to read both lists.
     const bool Reachable =
         Topology.relay() ||
         m_Deps.m_Upstreams.confirmedAt() >= Now - LeafCoalesceDelay;
-    // A small fleet learns of a configuration sooner than by way of others.
+    // In a small fleet a box's own watch is faster than updates through other
+    // boxes.
     setRelayed(m_Deps.m_Config, (Relayed || !Reachable) && !Topology.flat() &&
                                     (HasConfig || m_Config.asksUplink()));
   }
@@ -313,27 +319,28 @@
   m_ConfigSendQueue.sendWaiting(m_Deps.m_State.configVersion());
   if (Now - age(Now) - m_SentConfirmedAt >= MuchNewerBy)
     m_Hooks.m_SendNow();
-  // A leaf needs to know of other boxes only while it has no relay.
+  // A leaf needs the list of boxes only while it has no relay.
   setRelayed(m_Deps.m_Boxes,
              !Topology.relay() && !m_Hooks.m_NextHopToLeader().empty());
 }
 
-/// Whether this box need not, or cannot, read the evacuations itself.
+/// Whether this box need not or cannot read the evacuations itself.
 bool ListFollower::skipsEvacuations(TimePoint Now, bool Relayed) const {
   if (!m_FollowEvacuations)
     return true;
   if (m_Deps.m_Evacuations.revision() > 0) {
-    // Nobody follows a leaf, so that it need not read before the bound asks.
+    // Nobody follows a leaf, so it reads only when its copy becomes too old.
     const bool Leaf = !m_Deps.m_Fleet.topology().relay();
     if (Relayed || (Leaf && !m_Deps.m_Evacuations.running() &&
                     Now - evacuationsConfirmedAt() < LeafMaxEvacuationAge))
       return true;
   }
-  // Each try costs. The list's own tell when the store answers again.
+  // Each try costs a call; the list's own calls show when the store answers
+  // again.
   return Now - m_Deps.m_Upstreams.confirmedAt() > LeafMaxListAgeCeiling;
 }
 
-/// Whether this box, which has just started, may yet be told of the list.
+/// Whether this box has just started and may still be sent the list.
 bool ListFollower::awaitsFirstList(TimePoint Now) const {
   if (m_Deps.m_Upstreams.running())
     return false;
@@ -367,10 +374,10 @@
   m_Deps.m_Upstreams.resync();
 }
 
-/// Whether there is news of lists that this box does not read itself.
+/// Whether \p Newest has changes of lists that this box does not read itself.
 bool ListFollower::listsBehind(const FleetWantFrame &Newest) const {
-  const auto Behind = [](const WatchCache &Cache, std::uint64_t Known) {
-    return !Cache.running() && Known > Cache.revision();
+  const auto Behind = [](const WatchCache &Cache, std::uint64_t Revision) {
+    return !Cache.running() && Revision > Cache.revision();
   };
   return Behind(m_Deps.m_Upstreams, Newest.m_List) ||
          (needsFullList() && !m_Deps.m_Upstreams.running()) ||
@@ -382,13 +389,14 @@
 void ListFollower::recordDigest(const BoxName &From,
                                 const FleetDigestFrame &Frame,
                                 Duration ExcessDelay, TimePoint Now) {
-  // Only one that reads the store itself knows more than what it is told.
+  // Only a box that reads the store itself can be fresher than the box towards
+  // the leader.
   if (From != m_Hooks.m_NextHopToLeader() && !Frame.m_Reads)
     return;
-  // Its age counts from when it was said. One that the store turns away, or
-  // whose watch is dead, knows no news.
+  // The age counts from when the digest was sent. A box that cannot reach the
+  // store, or whose watch is dead, cannot confirm anything.
   const Duration Age = Frame.m_ListAge + ExcessDelay;
-  // Nor does one that does not follow the evacuations know them.
+  // Nor can one that does not follow the evacuations.
   const bool Knows = !m_FollowEvacuations || Frame.m_Evacuations > 0;
   if (Age > maxListAge() || !Knows ||
       Frame.m_List < m_Deps.m_Upstreams.revision()) {
@@ -399,18 +407,19 @@
   const BoxName Source = listSource(Now);
   const bool Newer =
       Source == From || ConfirmedAt - peerConfirmedAt(Source) >= NewerSourceBy;
-  const PeerLists &Word =
+  const PeerLists &Peer =
       m_PeerLists[From] = {.m_ConfirmedAt = ConfirmedAt,
                            .m_Newest = {.m_Config = Frame.m_Config,
                                         .m_List = Frame.m_List,
                                         .m_Boxes = Frame.m_Boxes,
                                         .m_Evacuations = Frame.m_Evacuations},
                            .m_ConfirmedBefore = peerConfirmedAt(From)};
-  // Something was lost on the way, or this box has not followed it so far.
-  if (!Newer || !listsBehind(Word.m_Newest))
+  // Request the lists: an update was lost, or this box has not followed the
+  // sender so far.
+  if (!Newer || !listsBehind(Peer.m_Newest))
     return;
   FleetWantFrame Wanted = makeWantFrame();
-  // ConfigFollower asks for that.
+  // ConfigFollower requests the configuration.
   Wanted.m_Config = std::max(Wanted.m_Config, Frame.m_Config);
   m_Deps.m_Fleet.send(From, Wanted);
 }
@@ -419,18 +428,20 @@
                                  const FleetWantFrame &Frame) {
   const FleetWantFrame Own = makeWantFrame();
   m_ConfigSendQueue.request(From, Frame.m_Config, Own.m_Config);
-  // It asks again with the next digest, and what it lacks may lie in its way.
+  // The box requests again after the next digest, and what it lacks may already
+  // be queued.
   if (m_Deps.m_Fleet.slow(From))
     return;
-  const auto Tell = [&](const WatchCache &Cache, std::uint64_t Held,
-                        std::uint64_t Known) {
-    if (Held > Known)
+  const auto SendIfNewer = [&](const WatchCache &Cache,
+                               std::uint64_t OwnRevision,
+                               std::uint64_t PeerRevision) {
+    if (OwnRevision > PeerRevision)
       m_Deps.m_Fleet.send(From, encodedSnapshot(Cache));
   };
   if (Own.m_List > Frame.m_List)
     sendList(From);
-  Tell(m_Deps.m_Boxes, Own.m_Boxes, Frame.m_Boxes);
-  Tell(m_Deps.m_Evacuations, Own.m_Evacuations, Frame.m_Evacuations);
+  SendIfNewer(m_Deps.m_Boxes, Own.m_Boxes, Frame.m_Boxes);
+  SendIfNewer(m_Deps.m_Evacuations, Own.m_Evacuations, Frame.m_Evacuations);
 }
 
 ConfigSendQueue::Hooks ListFollower::sendQueueHooks() {
@@ -450,7 +461,8 @@
           }};
 }
 
-/// A part of the list is of no use to anybody else.
+/// Sends the list of upstreams, or a leaf its subset. A partial list is of no
+/// use to other boxes.
 void ListFollower::sendList(const BoxName &From) {
   const FleetTopology &Topology = m_Deps.m_Fleet.topology();
   if (m_Deps.m_Upstreams.partial())
@@ -479,7 +491,7 @@
   WatchCache *Cache = cacheFor(Frame.m_Prefix);
   if (Cache != nullptr && !Cache->adopt(deltaIn(Frame))) {
     FleetWantFrame Wanted = makeWantFrame();
-    // A copy of the other kind is of no use, however new it is.
+    // A partial and a whole copy cannot be merged, whatever their revisions.
     if (Cache == &m_Deps.m_Upstreams && Frame.m_Part != Cache->partial())
       Wanted.m_List = 0;
     m_Deps.m_Fleet.send(From, Wanted);
--- a/packages/gateway/process/ListFollower.h
+++ b/packages/gateway/process/ListFollower.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which box reads lists of the store, and which follow it. See
+/// Which box watches the lists of the store, and which boxes follow it. See
 /// docs/design/fleet.md.
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_LISTFOLLOWER_H
 #define HAVENSTAIR_GATEWAY_PROCESS_LISTFOLLOWER_H
@@ -24,37 +24,38 @@
 class OrderLeader;
 class UpstreamRegistry;
 
-/// Keeps this box's copies of the store's lists as new as they must be: by the
-/// word of the box that reads for all while that vouches for them, by reading
-/// itself otherwise.
+/// Keeps this box's copies of the store's lists as fresh as they must be: by
+/// updates from the box that reads for all while that box confirms them, by
+/// reading the store itself otherwise.
 class ListFollower {
 public:
   struct Options {
-    /// Of the platform: how long a leaving upstream may get new work.
+    /// How long the platform lets a draining upstream get new work.
     Duration m_DrainTimeout = 2s;
-    bool m_FirstStart = false; ///< The whole fleet starts now.
+    bool m_FirstStart = false; ///< Whether the whole fleet starts now.
   };
-  /// What it reads and changes.
+  /// The objects that it reads and changes.
   struct Dependencies {
     Fleet &m_Fleet;
     OrderLeader &m_Leader;
     ServingState &m_State;
     WatchCache &m_Config;
     WatchCache &m_Upstreams;
-    const UpstreamRegistry &m_Registry; ///< Of m_Upstreams.
+    const UpstreamRegistry &m_Registry; ///< Decodes m_Upstreams.
     WatchCache &m_Boxes;
     WatchCache &m_Evacuations;
     DecisionLog &m_Log;
   };
   struct Hooks {
-    /// The next box on the way to the one that gives orders; may be empty.
+    /// Returns the next hop towards the leader; may be empty.
     std::function<BoxName()> m_NextHopToLeader;
-    /// Others are about to read what this box has just learned.
+    /// Sends a digest at once: other boxes are about to read what this box has
+    /// just learned.
     std::function<void()> m_SendNow;
-    /// A leaf asks for the whole of its list of upstreams.
+    /// Sends a leaf the whole of its subset of upstreams.
     std::function<void(const BoxName &)> m_SendToLeaf;
-    /// Connections to the store may be dead without saying so: the next call
-    /// takes a new one.
+    /// Closes the connections to the store, which may be dead without an error;
+    /// the next call opens a new one.
     std::function<void()> m_DropConnections;
   };
 
@@ -63,50 +64,58 @@
   ListFollower(const ListFollower &) = delete;
   ListFollower &operator=(const ListFollower &) = delete;
 
-  /// The topology may have changed.
+  /// To be called when the topology may have changed.
   void onTopologyChanged();
-  /// Whom it follows is chosen anew.
+  /// Chooses the box to follow, and what this box reads itself.
   void chooseSource();
+  /// Forgets what \p Box, whose link is gone, has reported.
   void forget(const BoxName &Box);
 
-  /// Fills in what \p Frame tells of the lists; it counts as told then.
+  /// Fills in the fields of \p Frame about the lists, which counts as sent
+  /// then.
   void describe(FleetDigestFrame &Frame, TimePoint Now);
-  /// Tells \p To the lists that requests are sent by.
+  /// Sends \p To whole copies of the lists by which requests are routed.
   void sendSnapshots(const BoxName &To);
-  /// What this box would ask another one for.
+  /// A request for everything that is newer than the copies of this box.
   FleetWantFrame makeWantFrame() const;
-  /// Sends \p From what is newer here than \p Frame says.
+  /// Sends \p From the lists that are newer here than \p Frame says.
   void answerRequest(const BoxName &From, const FleetWantFrame &Frame);
+  /// Merges keys that \p From has sent; requests more when some are missing.
   void adopt(const BoxName &From, const FleetKeysFrame &Frame);
+  /// The frame that sends \p Changes of \p Cache.
   static FleetKeysFrame keysFrame(const WatchCache &Cache,
-                                  const WatchCache::Delta &News);
-  /// What keysFrame() was given.
+                                  const WatchCache::Delta &Changes);
+  /// The inverse of keysFrame().
   static WatchCache::Delta deltaIn(const FleetKeysFrame &Frame);
 
-  /// How it comes by newer configurations.
+  /// Fetches newer configurations.
   ConfigFollower &config() { return m_Config; }
   const ConfigFollower &config() const { return m_Config; }
-  /// Which boxes wait for the configuration of this one.
+  /// The boxes that wait for the configuration of this one.
   ConfigSendQueue &configSendQueue() { return m_ConfigSendQueue; }
-  /// Another box tells of a list.
+  /// Reads the list of upstreams anew when \p Frame proves this box's watch
+  /// late.
   void readIfBehind(const FleetDigestFrame &Frame, TimePoint Now);
-  /// \p HeldUp: by how much longer than usual the word was under way.
+  /// Records how fresh the lists of \p From are. \p ExcessDelay is by how much
+  /// longer than usual \p Frame was in transit.
   void recordDigest(const BoxName &From, const FleetDigestFrame &Frame,
                     Duration ExcessDelay, TimePoint Now);
 
-  /// Whether the uplink of this box, a leaf, has to be followed, and its lists
-  /// have been too old for long: another one may know better.
+  /// Whether this box, a leaf, depends on its uplink and its lists have been
+  /// too old for long: another relay may be fresher.
   bool uplinkOutdated(TimePoint Now) const;
 
+  /// How old this box's configuration may be, and which box confirmed it.
   ConfigVouch configFreshness(TimePoint Now) const;
-  /// As of when this box's configuration was the store's, or later; and its
+  /// When this box's configuration was confirmed as the store's state; and its
   /// evacuations.
   TimePoint configConfirmedAt() const;
   TimePoint evacuationsConfirmedAt() const;
-  /// Whether to watch the configuration closely, as where keys must not be
-  /// trusted by an old one.
+  /// Sets whether to watch the configuration closely, for when keys must not be
+  /// trusted with an outdated configuration.
   void watchConfigClosely(bool Closely) { m_ConfigClosely = Closely; }
-  /// Operators evacuate data centres: what they ask for travels with the list.
+  /// Sets whether operators may evacuate data centres; the evacuations are then
+  /// followed like the list of upstreams.
   void followEvacuations(bool Follow) { m_FollowEvacuations = Follow; }
 
 private:
@@ -115,7 +124,8 @@
   TimePoint confirmedAtOf(const WatchCache &Cache) const;
   Duration maxListAge() const;
   BoxName listSource(TimePoint Now) const;
-  /// As of when \p Box vouches for this box's copy.
+  /// When \p Box confirmed this box's copy; the beginning of time when it has
+  /// not.
   TimePoint peerConfirmedAt(const BoxName &Box) const;
   bool confirms(const BoxName &Box, TimePoint Now) const;
   Duration coalesceDelay() const;
@@ -132,18 +142,19 @@
   std::array<WatchCache *, 4> caches() const;
   WatchCache *cacheFor(const std::string &Prefix) const;
 
-  /// What a box whose lists this one could follow last said of them.
+  /// What a box whose lists this one could follow last reported of them.
   struct PeerLists {
-    TimePoint m_ConfirmedAt{}; ///< They were the store's state then, or later.
-    FleetWantFrame m_Newest;   ///< What they hold.
-    /// As of when this box's copy was the same as theirs before that.
+    /// Its lists were the store's state then, or later.
+    TimePoint m_ConfirmedAt{};
+    FleetWantFrame m_Newest; ///< The revisions of its lists.
+    /// When this box's copy was last confirmed by that box before this report.
     TimePoint m_ConfirmedBefore{};
   };
 
   Dependencies m_Deps;
   Options m_Opts;
   Hooks m_Hooks;
-  /// A whole copy, for those that ask for it.
+  /// A whole copy, encoded for the boxes that request it.
   struct EncodedSnapshot {
     StoreRevision m_At = 0;
     EncodedFrame m_Frame;
@@ -151,12 +162,15 @@
   std::map<std::string, EncodedSnapshot> m_Snapshots; ///< By prefix.
   std::map<BoxName, PeerLists> m_PeerLists;
   TimePoint
-      m_ListConfirmedAt{}; ///< The latest that was known of this box's copy.
-  BoxName m_ListSource;    ///< The box whose lists this one follows.
+      /// Latest time at which this box's list was known as the store's state.
+      m_ListConfirmedAt{};
+  BoxName m_ListSource; ///< The box whose lists this one follows.
   TimePoint m_SentConfirmedAt =
-      EventLoop::now(); ///< As of when this box last vouched for its lists.
+      /// The time as of which this box last confirmed its lists to others.
+      EventLoop::now();
   TimePoint m_StartedAt = EventLoop::now();
-  TimePoint m_ListReadAt{}; ///< When it was read anew on another box's word.
+  /// When the list was last reread because another box had a newer one.
+  TimePoint m_ListReadAt{};
   bool m_ConfigClosely = false;
   bool m_FollowEvacuations = false;
   ConfigFollower m_Config;
--- a/packages/gateway/process/ManagedEngine.cpp
+++ b/packages/gateway/process/ManagedEngine.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-/// An adapter arrives in some milliseconds; engines tell of it much later.
+/// An adapter loads in some milliseconds; engines report it much later.
 constexpr Duration AdapterLoadTime = 40ms;
 
-/// Contents that the list does not tell are told again after this, changed or
-/// not: boxes may have missed them.
+/// Contents that differ from the list are published again after this, changed
+/// or not: boxes may have missed them.
 constexpr Duration RepublishAfter = 3s;
 
 bool saysSame(const UpstreamInstance &Entry, const EngineContents &Contents) {
@@ -19,7 +19,7 @@
          Contents.m_Loading.empty();
 }
 
-/// When a load that is overdue is expected.
+/// A load that is overdue is expected after this.
 constexpr Duration OverdueDelay = 500ms;
 
 } // namespace
@@ -102,18 +102,18 @@
   for (const ResidentModel &Model :
        m_Ledger.known() ? m_Ledger.models() : Entry.m_Models)
     Planned.m_Models.insert(Model.m_Name);
-  const auto Comes = [&](const std::string &Model) {
+  const auto AddComing = [&](const std::string &Model) {
     Planned.m_Models.insert(Model);
     Planned.m_Coming[Model] = std::max(0.0, inMillis(m_ServesAt - Now));
   };
   if (const auto &Order = m_Ledger.modelOrder();
       Order && Order->m_Load && !Order->m_Model.empty())
-    Comes(Order->m_Model);
+    AddComing(Order->m_Model);
   if (!m_Task)
     return Planned;
   Planned.m_Models.erase(m_Task->m_Move.m_Evict);
   if (!m_Task->m_Move.m_Load.empty())
-    Comes(m_Task->m_Move.m_Load);
+    AddComing(m_Task->m_Move.m_Load);
   return Planned;
 }
 
@@ -166,7 +166,7 @@
 std::optional<EngineContents>
 ManagedEngine::takeUpdate(const UpstreamInstance &Entry, TimePoint Now) {
   EngineContents Lasting = lastingContents(Entry.m_Id, Now);
-  // The first time, all that they know is what the list says.
+  // The first time, the boxes know only what the list says.
   if (!m_Published) {
     m_Published = {
         .m_Engine = Entry.m_Id, .m_Born = m_Born, .m_Models = Entry.m_Models};
@@ -175,8 +175,8 @@
   }
   const bool Changed =
       Lasting != *m_Published || m_ServesAt != m_PublishedServesAt;
-  // Were all engines told of every few seconds, that would be most of what
-  // boxes of a large fleet tell each other.
+  // Publishing all engines every few seconds would be most of the traffic
+  // between the boxes of a large fleet.
   const bool Again =
       !saysSame(Entry, Lasting) && Now - m_PublishedAt >= RepublishAfter;
   if (!Changed && !Again)
--- a/packages/gateway/process/ManagedEngine.h
+++ b/packages/gateway/process/ManagedEngine.h
@@ -1,5 +1,5 @@
 /// \file
-/// One engine as the box that gives orders knows it.
+/// An engine as the leader knows it.
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_MANAGEDENGINE_H
 #define HAVENSTAIR_GATEWAY_PROCESS_MANAGEDENGINE_H
 
@@ -17,8 +17,8 @@
 /// A move that is being carried out on an engine.
 struct EngineTask {
   enum class Phase {
-    Retiring,  ///< Boxes hear that the model makes way.
-    Unloading, ///< Its answers end.
+    Retiring,  ///< Boxes are being told that the model is unloaded soon.
+    Unloading, ///< Its last requests end.
     Loading
   };
 
@@ -27,58 +27,66 @@
   TimePoint m_Since{};
 };
 
-/// What an engine holds, what is done to it, and what the boxes were told of
-/// it.
+/// What an engine holds, which orders are in progress, and what was published
+/// of it to the other boxes.
 struct ManagedEngine {
-  EngineLedger m_Ledger;
-  UpstreamBirth m_Born = 0; ///< Of the start that all of this is of.
+  EngineLedger m_Ledger; ///< What the engine holds, and pending orders.
+  /// Start time of the incarnation that this state belongs to; 0 when unknown.
+  UpstreamBirth m_Born = 0;
   std::optional<EngineTask> m_Task;
-  bool m_ReportPending = false;
-  TimePoint m_NextReport{};
-  TimePoint m_ServesAt{}; ///< When its task or load is expected to end.
-  TimePoint m_LastAdapterOrderAt{};
-  std::map<std::string, TimePoint> m_ModelLoadedAt;   ///< When a model came.
-  std::map<AdapterKey, TimePoint> m_AdapterOrderedAt; ///< When it was ordered.
+  bool m_ReportPending = false; ///< A report call is in flight.
+  TimePoint m_NextReport{};     ///< No report is requested earlier.
+  TimePoint m_ServesAt{};       ///< When its task or load is expected to end.
+  TimePoint m_LastAdapterOrderAt{}; ///< When an adapter was last ordered.
+  /// When each model was loaded.
+  std::map<std::string, TimePoint> m_ModelLoadedAt;
+  /// When each adapter was ordered.
+  std::map<AdapterKey, TimePoint> m_AdapterOrderedAt;
 
-  /// A word of the start \p Born came. A later one than is known begins
-  /// everything anew, but for orders that may still come late. \returns whether
-  /// it did.
+  /// Notes that the engine runs with start time \p Born. A later one than is
+  /// known resets everything but orders that may still be carried out late.
+  /// \returns whether it did.
   bool recordStart(UpstreamBirth Born, TimePoint Now);
-  /// Whether \p Born is the start that is known, or is not told.
+  /// Whether \p Born is the known incarnation, or is unknown (0).
   bool isCurrent(UpstreamBirth Born) const {
     return Born == 0 || m_Born == 0 || Born == m_Born;
   }
-  /// What the engine says of itself. \returns whether it shows a start that was
-  /// not told; all but late orders begins anew then.
+  /// Records a report of the engine that was requested at \p AskedAt. \returns
+  /// whether it shows a restart that was not announced; everything but late
+  /// orders is reset then.
   bool recordReport(const ResidencyReport &Report, TimePoint Now,
                     TimePoint AskedAt);
-  /// Starts to carry \p Move out.
+  /// Starts to carry out \p Move.
   void begin(const PlannedMove &Move, TimePoint Now);
-  /// Those of \p Models that it holds count as come at \p At.
+  /// Treats those of \p Models that the engine holds as loaded at \p At.
   void keepModels(const std::set<std::string> &Models, TimePoint At);
-  /// It has taken the order for a load that takes \p Nominal when few run, and
-  /// \p Slowness times that now.
+  /// Records that the engine accepted the order for a load, which takes \p
+  /// Nominal while few loads run and \p Slowness times that now.
   void recordLoadStart(LoadSource Source, Duration Nominal, double Slowness,
                        TimePoint Now);
-  /// A load has ended. \returns how much longer it took than its nominal time;
-  /// none unless it came from the store of weights.
+  /// Records the end of a load. \returns how many times its nominal duration it
+  /// took; none unless it came from the store of weights.
   std::optional<double> recordLoadEnd(TimePoint Now);
-  /// A load that is overdue is expected soon, as long as it is under way.
+  /// Moves the expected end of an overdue load into the near future while the
+  /// load is in progress.
   void expectOverdue(TimePoint Now);
-  /// For the plan of models, with what is under way counted as done. \p Entry
-  /// stands in for the engine's own word until that is known.
+  /// Returns the input for the plan of models, in which what is in progress
+  /// counts as done. \p Entry stands in for the engine's own report until there
+  /// is one.
   PlannedEngine modelPlanEntry(const UpstreamInstance &Entry, double Slowness,
                                Duration MinReplicaStay, TimePoint Now) const;
-  /// For the plan of adapters.
+  /// Returns the input for the plan of adapters; \p Busy is the share of the
+  /// engine's time that is in use.
   AdapterEngine adapterPlanEntry(const InstanceId &Id, double Busy,
                                  Duration MinAdapterStay, TimePoint Now) const;
-  /// For the other boxes.
+  /// Returns the contents for the other boxes.
   EngineContents contents(const InstanceId &Id, TimePoint Now) const;
-  /// The same if the boxes were told something else, or long ago what \p Entry,
-  /// which all of them read, does not say; it counts as told then.
+  /// Returns the contents if they differ from what was published, or if they
+  /// were published long ago and differ from \p Entry, which all boxes read.
+  /// They count as published then.
   std::optional<EngineContents> takeUpdate(const UpstreamInstance &Entry,
                                            TimePoint Now);
-  /// Whether the boxes need to be told more than \p Entry says.
+  /// Whether the contents differ from \p Entry.
   bool differsFrom(const UpstreamInstance &Entry, TimePoint Now) const;
 
 private:
@@ -88,13 +96,15 @@
     TimePoint m_Since{};
   };
 
-  /// Forgets all but its ledger and birth.
+  /// Resets everything but the ledger and the start time.
   void reset();
-  /// All but the time that a load still takes, which changes all the time.
+  /// The contents without the remaining time of a load, which changes all the
+  /// time.
   EngineContents lastingContents(const InstanceId &Id, TimePoint Now) const;
 
   std::optional<Load> m_Load;
-  /// Nothing at first: then all that its entry does not say is news.
+  /// What was last published; none at first, when boxes know only the entry in
+  /// the list.
   std::optional<EngineContents> m_Published;
   TimePoint m_PublishedServesAt{};
   TimePoint m_PublishedAt{};
--- a/packages/gateway/process/MeteredStore.h
+++ b/packages/gateway/process/MeteredStore.h
@@ -1,6 +1,6 @@
 /// \file
-/// Counts the calls to the store: each of them is paid for and takes from a
-/// rate that all boxes share.
+/// A store that counts the calls: each call costs money and counts against a
+/// rate limit that all boxes share.
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_METEREDSTORE_H
 #define HAVENSTAIR_GATEWAY_PROCESS_METEREDSTORE_H
 
@@ -12,15 +12,16 @@
 
 namespace havenstair {
 
-/// Passes each call on to another store and tells of it.
+/// Passes each call on to another store and reports it through hooks.
 class MeteredStore : public CoordinationStore {
 public:
   struct Hooks {
-    /// A call is made; \p Subject is its prefix, or empty.
+    /// Called before each call. \p Call names its kind; \p Subject is its key
+    /// prefix, empty for calls without one.
     std::function<void(std::string_view Call, std::string_view Subject)>
         m_Called;
-    /// The store answered a call that was made now, not a watch: that one's
-    /// answer may have waited in a socket.
+    /// The store has answered a call. Watches do not count: their answer may
+    /// have waited in a socket while the store became unreachable.
     std::function<void()> m_Reached;
   };
 
--- a/packages/gateway/process/ObservedEngineControl.cpp
+++ b/packages/gateway/process/ObservedEngineControl.cpp
@@ -15,13 +15,13 @@
   m_Inner->order(To, Order, Stamp, std::move(Callback));
 }
 
-void ObservedEngineControl::report(const UpstreamInstance &Of,
+void ObservedEngineControl::report(const UpstreamInstance &From,
                                    ReportDone Callback) {
-  m_Inner->report(Of, [this, Of, AskedAt = EventLoop::now(),
-                       Callback = std::move(Callback)](
-                          std::optional<ResidencyReport> Report) {
+  m_Inner->report(From, [this, From, AskedAt = EventLoop::now(),
+                         Callback = std::move(Callback)](
+                            std::optional<ResidencyReport> Report) {
     if (Report)
-      m_Observer(Of, *Report, AskedAt);
+      m_Observer(From, *Report, AskedAt);
     Callback(std::move(Report));
   });
 }
--- a/packages/gateway/process/ObservedEngineControl.h
+++ b/packages/gateway/process/ObservedEngineControl.h
@@ -1,5 +1,5 @@
 /// \file
-/// Lets others read the reports that engines give to who orders.
+/// An engine control whose reports can be observed.
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_OBSERVEDENGINECONTROL_H
 #define HAVENSTAIR_GATEWAY_PROCESS_OBSERVEDENGINECONTROL_H
 
@@ -10,12 +10,13 @@
 
 namespace havenstair {
 
-/// Passes each call on to another control and tells of the reports.
+/// Passes each call on to another engine control and reports the engines'
+/// answers to an observer.
 class ObservedEngineControl : public EngineControl {
 public:
-  /// \p Of answered what was asked at \p AskedAt.
+  /// Engine \p From sent \p Report in answer to a question asked at \p AskedAt.
   using ReportObserver =
-      std::function<void(const UpstreamInstance &Of,
+      std::function<void(const UpstreamInstance &From,
                          const ResidencyReport &Report, TimePoint AskedAt)>;
 
   ObservedEngineControl(std::unique_ptr<EngineControl> Inner,
@@ -23,7 +24,7 @@
 
   void order(const UpstreamInstance &To, const ResidencyOrder &Order,
              const OrderStamp &Stamp, OrderDone Callback) override;
-  void report(const UpstreamInstance &Of, ReportDone Callback) override;
+  void report(const UpstreamInstance &From, ReportDone Callback) override;
 
 private:
   std::unique_ptr<EngineControl> m_Inner;
--- a/packages/gateway/process/OrderLeader.cpp
+++ b/packages/gateway/process/OrderLeader.cpp
@@ -10,58 +10,61 @@
 
 namespace {
 
-/// While orders are given, while they may have to be, and otherwise.
+/// Intervals of ticks: while this box leads, while it may be elected, and
+/// otherwise.
 constexpr Duration TickInterval = 50ms;
 constexpr Duration StandbyTickInterval = 150ms;
 constexpr Duration IdleTickInterval = 1s;
 constexpr Duration PlanInterval = 200ms;
-/// After a plan, this many times what it took passes before the next: plans of
-/// a large fleet would leave no time for anything else.
+/// After a plan, the next waits for this many times the plan's duration: plans
+/// of a large fleet would leave no time for anything else.
 constexpr int PlanPauseFactor = 5;
 
-/// Time for all boxes to hear that a model retires.
+/// Time until all boxes know that a model is being retired.
 constexpr Duration RetireNotice = 120ms;
 
-/// How long requests are believed to wait for a missing model.
+/// How long a model counts as missing after the last request for it.
 constexpr Duration MissingRetention = 5s;
 
-/// Added to the time between the orders of two order givers.
+/// Added to the time between the orders of two leaders.
 constexpr Duration HandoverMargin = 300ms;
 
 constexpr Duration ReportInterval = 120ms;
-/// Reports that are under way at one time. An answer takes some milliseconds,
-/// and a box that is asked for thousands at once does nothing else.
+/// Most report calls in flight. An answer takes some milliseconds, and a box
+/// that asks thousands of engines at once does nothing else.
 constexpr std::size_t MaxPendingReports = 64;
 constexpr Duration ReportRetryDelay = 400ms;
+/// Expected duration of an unload.
 constexpr Duration UnloadTime = 60ms;
 
-/// No plan is made while engines return to the list or the list is read for the
-/// first time, since their models seem missing.
+/// No plan is made this long after engines return to the list or the list is
+/// first read, since models of engines that are not listed yet seem missing.
 constexpr Duration SettleTime = 1300ms;
 
-/// A model that cannot be unloaded in this time stays.
+/// A model that cannot be unloaded within this time stays.
 constexpr Duration UnloadTimeout = 6s;
 
-/// A move whose engine takes no order in this time is planned anew.
+/// A move whose engine accepts no order within this time is planned anew.
 constexpr Duration BeginTimeout = 1500ms;
 
-/// Most moves that one plan begins.
+/// Most moves that one plan starts.
 constexpr std::size_t MaxMovesPerPlan = 6;
 
-/// A holder that is replaced hears of it within this.
+/// A leader that is replaced learns of it within this time.
 constexpr Duration DeposedNoticeDelay = 700ms;
 
-/// Engines tell of themselves as they were up to this long ago.
+/// A report may show an engine's state as of this long ago.
 constexpr Duration MaxReportLag = 300ms;
 
-/// An order that an engine took before it was delisted may begin until then.
+/// An order that an engine accepted before it left the list may start within
+/// this time.
 constexpr Duration DelistedOrderLife = 5s;
 
 /// An order may be carried out this long after it was sent.
 constexpr Duration OrderLife = EngineLedger::Options{}.m_OrderLife;
 
-/// Usual work a second, in ms, that each replica of a model beyond the first
-/// tells of: a third of an engine, at which engines are comfortable.
+/// Work in milliseconds per second that each replica of a model beyond the
+/// first stands for: a third of an engine, a comfortable load.
 constexpr double SpareReplicaWorkMs = 300;
 
 } // namespace
@@ -110,9 +113,9 @@
 
 void OrderLeader::onElected(const LeaderElection::Predecessor &Before) {
   const TimePoint Now = EventLoop::now();
-  const bool Own = Before.m_SameMachine;
+  const bool SameMachine = Before.m_SameMachine;
   tickLater();
-  m_EarliestOrder = Before.m_None || Own
+  m_EarliestOrder = Before.m_None || SameMachine
                         ? Now
                         : Now + m_Opts.m_Bounds.m_OrderTurn + HandoverMargin;
   m_Engines.clear();
@@ -120,8 +123,8 @@
   m_ClaimedAt = Now;
   m_Ceiling = LoadCeiling();
   m_DemandSeeded = false;
-  // Nobody tells the holder before that it is one no more at once.
-  const TimePoint LastOrder = Own ? Now : Now + DeposedNoticeDelay;
+  // The leader before learns only with a delay that it was replaced.
+  const TimePoint LastOrder = SameMachine ? Now : Now + DeposedNoticeDelay;
   m_PredecessorOrdersUntil = Before.m_None ? Now : LastOrder + MaxReportLag;
   if (!Before.m_None)
     m_Ceiling.takeOver(LastOrder);
@@ -145,9 +148,9 @@
 }
 
 const EngineSpec *OrderLeader::specOf(const std::string &Service) const {
-  const ServiceSpec *Found =
+  const ServiceSpec *Spec =
       m_State.m_Config ? m_State.m_Config->service(Service) : nullptr;
-  return Found != nullptr && Found->m_Engine ? &*Found->m_Engine : nullptr;
+  return Spec != nullptr && Spec->m_Engine ? &*Spec->m_Engine : nullptr;
 }
 
 void OrderLeader::addDemand(const ModelDemands &Demand) {
@@ -165,13 +168,13 @@
     tickSoon(true);
 }
 
-/// In the next pass of the loop, once for all that ask for it by then, or as
-/// soon as a plan may be made when one is wanted.
+/// Schedules one tick in the next pass of the loop, or, with \p Plan, as soon
+/// as a plan may be made.
 void OrderLeader::tickSoon(bool Plan) {
   TimePoint At = EventLoop::now();
   if (Plan) {
     // A whole plan may take long in a large fleet. What requests wait for is
-    // planned by itself meanwhile.
+    // planned separately in the meantime.
     m_NextPlan = std::max(At, m_EarliestPlan);
     m_AwaitedPlanDue = true;
     At = std::max(At, std::min(m_EarliestPlan, m_EarliestAwaitedPlan));
@@ -197,8 +200,8 @@
   tickSoon(true);
 }
 
-/// Models that were brought elsewhere during an evacuation stay there until the
-/// return has held: the engines that come back may be cold.
+/// Models that were loaded elsewhere during an evacuation stay there for the
+/// usual time of a replica from now: the engines that return may be cold.
 void OrderLeader::keepCopiesAfterReturn(TimePoint Now) {
   const ServingView &View = m_State.m_Upstreams;
   const auto Returned = [&](const InstanceId &Id) {
@@ -251,36 +254,37 @@
     if (specOf(Entry.m_Service) == nullptr)
       continue;
     const auto [Place, New] = m_Engines.try_emplace(Id);
-    ManagedEngine &Known = Place->second;
-    // One that starts is empty. One that returns to the list, as all may do
-    // after an outage of the store, brings models that seemed missing.
+    ManagedEngine &Engine = Place->second;
+    // An engine that starts is empty. Engines that return to the list, as all
+    // may do after an outage of the store, bring back models that seemed
+    // missing.
     const auto Before = m_DelistedEngines.extract(Id);
     if (New && (Before || Now - m_ClaimedAt < SettleTime))
       m_EnginesAddedAt = Now;
     if (Before) {
-      Known.m_Ledger.setLate(Before.mapped());
-      Known.m_Ledger.passTime(Now);
+      Engine.m_Ledger.setLate(Before.mapped());
+      Engine.m_Ledger.passTime(Now);
     }
     const auto AgainAt = m_State.m_Upstreams.startedAgainAt(Id);
-    const bool Again = Known.recordStart(Entry.m_Born, Now);
+    const bool Again = Engine.recordStart(Entry.m_Born, Now);
     if (Again || (New && AgainAt && Now - *AgainAt <= OrderLife))
-      countLateOrders(Id, Known, Now);
-    // The first word is the engine's own: the list lags behind it.
-    if (Known.m_Ledger.known())
-      Known.m_Ledger.listed(Entry);
+      countLateOrders(Id, Engine, Now);
+    // The first state must be the engine's own report: the list lags behind it.
+    if (Engine.m_Ledger.known())
+      Engine.m_Ledger.listed(Entry);
     if (m_State.m_Upstreams.leaves(Entry))
-      Known.m_Task.reset();
+      Engine.m_Task.reset();
   }
 }
 
-/// Orders to the former start of an engine may still be carried out by this
-/// one.
+/// Counts orders to an earlier incarnation of an engine that this one may still
+/// carry out.
 void OrderLeader::countLateOrders(const InstanceId &Id, ManagedEngine &Engine,
                                   TimePoint Now) {
   const std::size_t Loads = Engine.m_Ledger.late().modelLoads();
   m_Ceiling.settled(Id, Now);
   m_Ceiling.mayBegin(Loads, Now + OrderLife);
-  // Those of the holder before this one are not known.
+  // Orders of the leader before this one are unknown.
   const TimePoint FormerLate = m_PredecessorOrdersUntil + OrderLife;
   const bool Held = m_PredecessorOrdersUntil > m_ClaimedAt && Now < FormerLate;
   if (Held)
@@ -292,15 +296,16 @@
 }
 
 void OrderLeader::askReports(TimePoint Now) {
-  // What an engine says before the former holder's last order may change.
+  // A report from before the former leader's last order may be outdated by that
+  // order.
   if (Now < m_PredecessorOrdersUntil)
     return;
   auto Asked = static_cast<std::size_t>(
       std::count_if(m_Engines.begin(), m_Engines.end(), [](const auto &Each) {
         return Each.second.m_ReportPending;
       }));
-  // Engines that are under way first: those that are not known yet only hold
-  // up what might be planned there.
+  // Known engines first: an unknown one only delays what might be planned
+  // there.
   for (const bool Known : {true, false})
     for (auto &[Id, Each] : m_Engines) {
       const EngineLedger &Ledger = Each.m_Ledger;
@@ -332,10 +337,10 @@
 void OrderLeader::onReport(const InstanceId &Id,
                            const std::optional<ResidencyReport> &Report,
                            TimePoint AskedAt) {
-  const auto Found = m_Engines.find(Id);
-  if (Found == m_Engines.end())
+  const auto Match = m_Engines.find(Id);
+  if (Match == m_Engines.end())
     return;
-  ManagedEngine &Engine = Found->second;
+  ManagedEngine &Engine = Match->second;
   const TimePoint Now = EventLoop::now();
   Engine.m_ReportPending = false;
   if (!Report) {
@@ -382,7 +387,8 @@
   if (!Engine.m_Task)
     return;
   if (!Engine.m_Ledger.idle()) {
-    // Counted as a replica that comes, it would keep others from being loaded.
+    // Counted as a coming replica, the move would keep other engines from
+    // loading the model.
     if (!Engine.m_Ledger.modelOrder() &&
         Now - Engine.m_Task->m_Since > BeginTimeout)
       Engine.m_Task.reset();
@@ -422,7 +428,7 @@
   const ResidencyOrder Load{
       .m_Load = true, .m_Model = Move.m_Load, .m_Adapter = {}};
   if (!Engine.m_Ledger.allows(Load, Spec)) {
-    // What it holds is not what the plan was made from.
+    // The engine holds something else than the plan assumed.
     if (!Engine.m_Ledger.needsReport())
       Engine.m_Task.reset();
     return;
@@ -473,7 +479,8 @@
   return true;
 }
 
-/// A load has begun, or never will, once the engine's word is in.
+/// Settles a load in the bound on loads: once the engine has answered and
+/// reported, the load has started or never will.
 void OrderLeader::settleLoad(const InstanceId &Id, const ManagedEngine &Engine,
                              TimePoint Now) {
   if (!Engine.m_Ledger.uncertain() && !Engine.m_Ledger.waitsForAnswer())
@@ -492,11 +499,11 @@
                                  {"model", Order.m_Model},
                                  {"adapter", Order.m_Adapter},
                                  {"answer", answerName(Answer)}});
-  const auto Found = m_Engines.find(Id);
-  // Whatever a former start answered, the order counts as late.
-  if (Found == m_Engines.end() || !Found->second.isCurrent(Instance.m_Born))
+  const auto Match = m_Engines.find(Id);
+  // Whatever an earlier incarnation answered, its orders already count as late.
+  if (Match == m_Engines.end() || !Match->second.isCurrent(Instance.m_Born))
     return;
-  ManagedEngine &Engine = Found->second;
+  ManagedEngine &Engine = Match->second;
   Engine.m_Ledger.answered(Answer, Now);
   const bool ModelLoad = Order.m_Load && Order.m_Adapter.empty();
   settleLoad(Id, Engine, Now);
@@ -522,12 +529,13 @@
 }
 
 bool OrderLeader::mayPlan(TimePoint Now) const {
-  // Engines that start together appear one after the other.
+  // Engines that start together are listed one after the other.
   return mayOrder(Now) && m_State.hasRequiredState() &&
          Now - m_EnginesAddedAt >= SettleTime;
 }
 
-/// Adapters that requests wait for: they arrive in some milliseconds.
+/// Plans only the adapters that requests wait for, which load in some
+/// milliseconds.
 void OrderLeader::planAwaited(TimePoint Now) {
   if (!mayPlan(Now))
     return;
@@ -564,8 +572,8 @@
   return Result;
 }
 
-/// Before demand is known, replicas beyond the first tell of it: whoever placed
-/// them, the operators or another order giver, expected it there.
+/// Derives usual demand from replicas beyond the first before any demand is
+/// known: the operators or a former leader placed them where they expected it.
 void OrderLeader::seedDemandFromReplicas(TimePoint Now) {
   if (std::exchange(m_DemandSeeded, true))
     return;
@@ -584,9 +592,10 @@
           Now);
 }
 
-/// A load from the store that takes longer than the window of their bound is
-/// still under way at its end: once all engines have spoken, those under way
-/// are all that count of the former holder's.
+/// Counts the loads of the former leader. A load from the store that takes
+/// longer than the window of their bound is still in progress at the window's
+/// end: once all engines have reported, the loads in progress are all of the
+/// former leader's that count.
 void OrderLeader::countPredecessorLoads(TimePoint Now) {
   if (!m_Ceiling.takenOver())
     return;
@@ -626,7 +635,7 @@
     if (Entry.m_Service != Service)
       continue;
     double Slowness = m_State.m_Latency.slowness(Id);
-    if (const NamedLimit *Limit = m_State.m_Words.limit(Id);
+    if (const NamedLimit *Limit = m_State.m_Signals.limit(Id);
         Limit != nullptr && All.m_Requests > 0)
       Slowness /= workingPart(Limit->m_PerS, All.m_WorkMs / All.m_Requests);
     Input.m_Engines.push_back(
@@ -661,7 +670,7 @@
   }
 }
 
-/// The part of its time that a replica of each model takes of an engine.
+/// Returns the share of an engine's time that each replica of a model takes.
 std::map<std::string, double>
 OrderLeader::replicaShares(const std::string &Service, TimePoint Now) const {
   std::map<std::string, double> Result;
@@ -736,7 +745,8 @@
   return Frame;
 }
 
-/// Engines that are not listed are not kept.
+/// Returns the entry of an engine in the list; engines that are not listed are
+/// not kept.
 const UpstreamInstance &OrderLeader::entryOf(const InstanceId &Id) const {
   return m_State.m_Upstreams.list().m_Instances.at(Id);
 }
@@ -745,8 +755,8 @@
                              TimePoint Now, FleetContentsFrame &Frame) {
   if (!Engine.m_Ledger.known())
     return;
-  if (auto News = Engine.takeUpdate(entryOf(Id), Now))
-    Frame.m_Engines.push_back(std::move(*News));
+  if (auto Update = Engine.takeUpdate(entryOf(Id), Now))
+    Frame.m_Engines.push_back(std::move(*Update));
 }
 
 void OrderLeader::publishChanges() {
@@ -759,8 +769,8 @@
     m_Hooks.m_ContentsChanged(Frame);
 }
 
-/// Reports come by the hundred: were all engines looked at for each, a box
-/// would do nothing else as it takes over.
+/// Publishes the change of one engine. Reports come by the hundred: checking
+/// all engines for each would leave a new leader no time for anything else.
 void OrderLeader::publishChange(const InstanceId &Id, ManagedEngine &Engine) {
   FleetContentsFrame Frame{.m_FencingToken = m_Election.token(),
                            .m_Engines = {}};
--- a/packages/gateway/process/OrderLeader.h
+++ b/packages/gateway/process/OrderLeader.h
@@ -1,5 +1,5 @@
 /// \file
-/// Gives orders to all engines, on one box at a time.
+/// Sends orders to all engines, on one box at a time, the leader.
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_ORDERLEADER_H
 #define HAVENSTAIR_GATEWAY_PROCESS_ORDERLEADER_H
 
@@ -26,8 +26,8 @@
 
 class DecisionLog;
 
-/// While this box holds the order giver's key, plans replicas and adapters from
-/// demand and carries the plan out, one order at a time on each engine. See
+/// While this box is the leader, plans replicas and adapters from demand and
+/// carries the plan out, one order at a time on each engine. See
 /// docs/design/orders.md.
 class OrderLeader {
 public:
@@ -42,14 +42,14 @@
     DemandRates::Options m_Rates;
   };
   struct Hooks {
-    /// Contents of engines changed; all boxes are to know.
+    /// Contents of engines have changed; all boxes are to be told.
     std::function<void(const FleetContentsFrame &)> m_ContentsChanged;
-    /// An order was answered; for metrics.
+    /// An engine has answered an order; for metrics.
     std::function<void(std::string_view Operation, std::string_view Answer)>
         m_OrderAnswered;
-    /// When the store's keys, the holder's among them, were last read.
+    /// Returns as of when the store's keys, the leader's among them, are known.
     std::function<TimePoint()> m_KeysReadAt;
-    std::function<double()> m_Random; ///< From 0 to 1.
+    std::function<double()> m_Random; ///< Returns a random number from 0 to 1.
   };
 
   OrderLeader(EventLoop &Loop, CoordinationStore &Store, EngineControl &Engines,
@@ -59,39 +59,45 @@
   OrderLeader(const OrderLeader &) = delete;
   OrderLeader &operator=(const OrderLeader &) = delete;
 
-  /// The store's keys have changed; \p Items are those of the whole prefix.
+  /// The store's keys have changed; \p Items are all keys under the prefix.
   void entriesChanged(const std::map<std::string, StoreItem> &Items) {
     m_Election.entriesChanged(Items);
   }
+  /// The list of upstreams has changed.
   void upstreamsChanged();
-  /// Data centres are evacuated, or were taken back at \p Now.
+  /// Data centres are evacuated, or returned to service at \p Now.
   void evacuationsChanged(TimePoint Now);
-  /// Demand of this box or another one.
+  /// Adds demand of this box or another one.
   void addDemand(const ModelDemands &Demand);
-  /// Requests wait for models that no engine holds.
+  /// Requests wait for models or adapters that no engine holds.
   void addMissing(const std::vector<ModelKey> &Keys);
+  /// Replaces the bounds that the operators set.
   void setBounds(const ServingBounds &Bounds);
 
-  /// Another box told whom it knows to give orders.
-  void recordPeerView(const BoxName &From, const OrderHolder &Known,
+  /// Records which leader another box knows; see LeaderElection.
+  void recordPeerView(const BoxName &From, const OrderHolder &Leader,
                       bool Giving, TimePoint SaidAfter) {
-    m_Election.recordPeerView(From, Known, Giving, SaidAfter);
+    m_Election.recordPeerView(From, Leader, Giving, SaidAfter);
   }
-  /// The other boxes whose majority decides who gives orders, and whether this
-  /// box may be that one.
+  /// Sets the other boxes whose majority decides who leads, and whether this
+  /// box may lead.
   void setVoters(std::set<BoxName> Others, bool Eligible);
+  /// The link to \p Box is gone.
   void boxLost(const BoxName &Box) { m_Election.boxLost(Box); }
 
-  /// Whom this box knows to give orders.
+  /// The newest leader that this box knows.
   const OrderHolder &leader() const { return m_Election.leader(); }
+  /// Whether this box leads, as far as it knows.
   bool leading() const { return m_Election.leading(); }
-  /// Contents of all engines, for a box that has just been linked.
+  /// Contents of all engines that differ from the list, for a box that has just
+  /// been linked; without engines unless this box leads.
   FleetContentsFrame contents() const;
-  /// Gives the key up.
+  /// Gives up the key and stops for good.
   void resign();
 
 private:
-  /// A model or adapter that requests waited for.
+  /// A model or adapter that requests wait for: since when, and until when at
+  /// the latest.
   struct MissingKey {
     TimePoint m_Since{};
     TimePoint m_Last{};
@@ -144,7 +150,7 @@
                                               TimePoint Now) const;
   bool evacuated(const InstanceId &Id) const;
   bool resident(const std::string &Model, const std::string &Adapter) const;
-  /// Engines that hold each model, but for evacuated ones.
+  /// Number of engines that hold each model, evacuated ones left out.
   std::map<std::string, std::size_t> replicas() const;
 
   EventLoop &m_Loop;
@@ -156,18 +162,20 @@
   DemandRates m_Rates;
   LeaderElection m_Election;
   bool m_Resigned = false;
-  bool m_DemandSeeded = false; ///< Usual demand was told by replicas.
+  /// Whether usual demand was derived from the replicas.
+  bool m_DemandSeeded = false;
   TimePoint m_EarliestOrder{};
   TimePoint m_NextPlan{};
-  TimePoint m_EarliestPlan{};        ///< None before, whoever waits.
-  TimePoint m_EarliestAwaitedPlan{}; ///< The same for what requests wait for.
+  TimePoint m_EarliestPlan{}; ///< No whole plan before, whatever waits.
+  /// The same for the plan of awaited adapters.
+  TimePoint m_EarliestAwaitedPlan{};
   bool m_AwaitedPlanDue = false;
   TimePoint m_ClaimedAt{};
-  /// Until when the holder before may have given orders.
+  /// Until when the leader before this one may have sent orders.
   TimePoint m_PredecessorOrdersUntil{};
-  /// The last time engines came back, or were listed at the start.
+  /// When engines last returned to the list, or were listed at the start.
   TimePoint m_EnginesAddedAt{};
-  /// Engines that left the list, with what they may still carry out.
+  /// Orders that engines which left the list may still carry out.
   std::map<InstanceId, LateOrders> m_DelistedEngines;
   std::map<InstanceId, ManagedEngine> m_Engines;
   std::map<ModelKey, MissingKey> m_Missing;
--- a/packages/gateway/process/PlatformBinding.h
+++ b/packages/gateway/process/PlatformBinding.h
@@ -1,5 +1,6 @@
 /// \file
-/// Everything the gateway takes from one platform: names, formats and calls.
+/// Everything that the gateway takes from one platform: names, formats and
+/// calls.
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_PLATFORMBINDING_H
 #define HAVENSTAIR_GATEWAY_PROCESS_PLATFORMBINDING_H
 
@@ -18,9 +19,10 @@
 class EventLoop;
 class HttpClient;
 
-/// Hooks that a platform's adapter fills in. None of them decides anything.
+/// Hooks and names that a platform's adapter fills in. None of the hooks makes
+/// decisions.
 struct PlatformBinding {
-  /// The settings as they stand now. \throws SettingError for a bad file.
+  /// Reads the current settings. \throws SettingError for an invalid file.
   std::function<GatewayOptions()> m_ReadOptions;
   std::function<std::unique_ptr<CoordinationStore>(EventLoop &, HttpClient &,
                                                    const Endpoint &)>
@@ -28,17 +30,19 @@
   std::function<std::unique_ptr<EngineControl>(HttpClient &)> m_MakeEngines;
   RequestDialect m_Dialect;
 
-  std::string m_ConfigPrefix;   ///< Keys of the operators' configuration.
-  std::string m_UpstreamPrefix; ///< Keys of running servers.
-  /// Keys that ask for a data centre's evacuation while they stand; its name
-  /// follows.
+  /// Prefix of the keys of the operators' configuration.
+  std::string m_ConfigPrefix;
+  std::string m_UpstreamPrefix; ///< Prefix of the keys of running upstreams.
+  /// Prefix of the keys that request the evacuation of a data centre while they
+  /// exist; the data centre's name follows.
   std::string m_EvacuationPrefix;
-  std::string m_OwnPrefix; ///< Keys that the gateway may write.
+  std::string m_OwnPrefix; ///< Prefix of the keys that the gateway may write.
   std::string m_ReadinessPath;
 
-  /// \throws DecodeError for a value that is no configuration.
+  /// Decodes a configuration. \throws DecodeError when \p Value is not one.
   std::function<ServingConfig(const std::string &Value)> m_DecodeConfig;
-  /// \throws DecodeError for a value that is no server.
+  /// Decodes an entry of the list of upstreams. \throws DecodeError when \p
+  /// Value is not one.
   std::function<UpstreamInstance(const std::string &Key,
                                  const std::string &Value)>
       m_DecodeUpstream;
--- a/packages/gateway/process/ServingState.h
+++ b/packages/gateway/process/ServingState.h
@@ -1,5 +1,5 @@
 /// \file
-/// What all requests of the process share.
+/// State that all requests of the process share.
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_SERVINGSTATE_H
 #define HAVENSTAIR_GATEWAY_PROCESS_SERVINGSTATE_H
 
@@ -24,18 +24,19 @@
 
 namespace havenstair {
 
-/// Books of one process; the configuration is replaced as a whole.
+/// State of one process. The configuration is replaced as a whole.
 struct ServingState {
-  /// Tokens of shared parts that an engine is believed to keep.
+  /// Tokens of shared prompt prefixes that an engine is assumed to keep cached.
   static constexpr double PrefixTokens = 150000;
 
-  std::string m_Zone;
+  std::string m_Zone; ///< The data centre of this box.
   DataCentreMap m_DataCentres;
-  std::shared_ptr<const ServingConfig> m_Config; ///< Null before the first.
+  /// Null before the first configuration.
+  std::shared_ptr<const ServingConfig> m_Config;
   ServingView m_Upstreams;
   WarmUpView m_WarmUp;
-  ServerWords m_Words;
-  SendBounds m_SendBounds{m_WarmUp, m_Words};
+  ServerWords m_Signals;
+  SendBounds m_SendBounds{m_WarmUp, m_Signals};
   LoadBook m_Loads;
   PrefixIndex m_Prefixes{PrefixTokens};
   LatencyModel m_Latency;
@@ -43,37 +44,40 @@
   CrashBook m_Crashes;
   SharedRetryBudget m_Budget{{}, EventLoop::now()};
   CallerClock m_Callers;
-  ModelDemands m_Demand; ///< Since it was last taken.
-  int m_Boxes = 1;       ///< Most boxes known at one time.
+  ModelDemands m_Demand; ///< Demand since it was last taken.
+  int m_Boxes = 1;       ///< Largest number of boxes known at one time.
   bool m_Stopping = false;
-  /// Operators evacuate data centres: which ones must be known before requests
-  /// are sent.
+  /// Whether operators may evacuate data centres; then the list of evacuations
+  /// must be known before requests are sent.
   bool m_NeedsEvacuations = false;
 
-  /// Forgets what was learned of an upstream that has left or started again.
+  /// Forgets what was learned of an upstream that has left or restarted.
   void forget(const InstanceId &Id) {
     m_Prefixes.forget(Id);
     m_Latency.forget(Id);
-    // What still runs on one that has only left goes on counting.
+    // Requests that still run on one that has only left the list continue to
+    // count.
     if (!m_Upstreams.list().m_Instances.contains(Id))
       return;
     m_Failures.forget(Id);
     m_Loads.startedAgain(Id);
   }
 
+  /// Sets the data centre of this box, and the map of all data centres.
   void setLocation(const DataCentreName &Own, DataCentreMap Map) {
     m_Zone = Own.str();
     m_DataCentres = std::move(Map);
   }
-  /// 0 before the first.
+  /// 0 before the first configuration.
   ConfigVersion configVersion() const {
     return m_Config ? m_Config->m_Version : 0;
   }
-  /// Whether what requests are sent by is known.
+  /// Whether everything that is needed to route requests is known.
   bool hasRequiredState() const {
     return m_Config != nullptr && m_Upstreams.known() &&
            (!m_NeedsEvacuations || m_Upstreams.evacuations().m_Revision > 0);
   }
+  /// Whether this process can take requests.
   bool ready() const { return hasRequiredState() && !m_Stopping; }
 };
 
--- a/packages/gateway/process/ShortageLog.cpp
+++ b/packages/gateway/process/ShortageLog.cpp
@@ -7,9 +7,10 @@
 
 namespace {
 
-/// A model whose replicas have more than this to do each, in engines' worth,
-/// lacks replicas; it is logged this often.
+/// A model has too few replicas when each would be busy for more than this
+/// share of its time.
 constexpr double MinShortageShare = 0.7;
+/// Shortest time between two log lines.
 constexpr Duration LogInterval = 500ms;
 
 } // namespace
@@ -20,8 +21,8 @@
   if (Now < m_NextLine)
     return;
   const auto Serving = [&](const std::string &Model) {
-    const auto Found = Replicas.find(Model);
-    return Found == Replicas.end() ? 0 : Found->second;
+    const auto Entry = Replicas.find(Model);
+    return Entry == Replicas.end() ? 0 : Entry->second;
   };
   std::string Worst;
   double WorstShare = MinShortageShare;
--- a/packages/gateway/process/ShortageLog.h
+++ b/packages/gateway/process/ShortageLog.h
@@ -1,5 +1,5 @@
 /// \file
-/// Log lines on models that lack replicas.
+/// Log lines about models that have too few replicas.
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_SHORTAGELOG_H
 #define HAVENSTAIR_GATEWAY_PROCESS_SHORTAGELOG_H
 
@@ -12,12 +12,13 @@
 
 class DecisionLog;
 
-/// Says what a plan has to work with while a model lacks replicas.
+/// Logs the inputs of a plan while a model has too few replicas.
 class ShortageLog {
 public:
   explicit ShortageLog(DecisionLog &Log) : m_Log(Log) {}
 
-  /// \p Replicas: engines that hold each model.
+  /// Logs the most overloaded model, if any, at most twice a second. \p
+  /// Replicas is the number of engines that hold each model.
   void log(const PlannerInput &Input,
            const std::map<std::string, std::size_t> &Replicas, TimePoint Now);
 
--- a/packages/gateway/process/StoreCallLog.cpp
+++ b/packages/gateway/process/StoreCallLog.cpp
@@ -7,7 +7,6 @@
 
 namespace {
 
-/// How often the calls to the store are logged, when there were any.
 constexpr Duration LogInterval = 10s;
 
 } // namespace
--- a/packages/gateway/process/StoreCallLog.h
+++ b/packages/gateway/process/StoreCallLog.h
@@ -14,13 +14,13 @@
 
 class DecisionLog;
 
-/// Writes a line now and then, when there were calls.
+/// Counts calls and logs the counts at an interval, when there were any.
 class StoreCallLog {
 public:
-  /// What the box does, which its calls depend on.
+  /// The roles of the box, which determine how many calls it makes.
   struct Role {
     bool m_Relay = false;
-    bool m_Leading = false; ///< Orders to engines.
+    bool m_Leading = false; ///< Leads, that is, sends orders to engines.
   };
 
   StoreCallLog(EventLoop &Loop, DecisionLog &Log,
@@ -28,7 +28,8 @@
   StoreCallLog(const StoreCallLog &) = delete;
   StoreCallLog &operator=(const StoreCallLog &) = delete;
 
-  /// \p Subject is the call's prefix, or empty.
+  /// Counts a call. \p Call names its kind; \p Subject is its key prefix, empty
+  /// for calls without one.
   void called(std::string_view Call, std::string_view Subject);
 
 private:
@@ -36,7 +37,8 @@
 
   DecisionLog &m_Log;
   std::function<Role()> m_RoleNow;
-  std::map<std::string, std::uint64_t> m_Calls; ///< Since the last line.
+  /// Calls since the last line, by kind and prefix.
+  std::map<std::string, std::uint64_t> m_Calls;
   Timer m_Timer;
 };
 
--- a/packages/gateway/process/UpstreamRegistry.cpp
+++ b/packages/gateway/process/UpstreamRegistry.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 
-InstanceList listOf(const Shortlist::Chosen &Of, StoreRevision Revision) {
+InstanceList listOf(const Shortlist::Chosen &Upstreams,
+                    StoreRevision Revision) {
   InstanceList Result{.m_Revision = Revision, .m_Instances = {}};
-  for (const UpstreamInstance *Each : Of)
+  for (const UpstreamInstance *Each : Upstreams)
     Result.m_Instances.emplace(Each->m_Id, *Each);
   return Result;
 }
@@ -26,19 +27,20 @@
   return Result;
 }
 
-/// Both are in the order of their keys; what is the same stays in its place.
+/// Merges two sequences that are sorted by key; entries of an unchanged
+/// revision are kept.
 void UpstreamRegistry::update(const std::map<std::string, StoreItem> &Items) {
-  auto Known = m_Entries.begin();
+  auto Entry = m_Entries.begin();
   for (const auto &[Key, Item] : Items) {
-    while (Known != m_Entries.end() && Known->first < Key)
-      Known = m_Entries.erase(Known);
-    if (Known == m_Entries.end() || Known->first != Key)
-      Known = m_Entries.emplace_hint(Known, Key, decode(Item));
-    else if (Known->second.m_Revision != Item.m_Revision)
-      Known->second = decode(Item);
-    ++Known;
+    while (Entry != m_Entries.end() && Entry->first < Key)
+      Entry = m_Entries.erase(Entry);
+    if (Entry == m_Entries.end() || Entry->first != Key)
+      Entry = m_Entries.emplace_hint(Entry, Key, decode(Item));
+    else if (Entry->second.m_Revision != Item.m_Revision)
+      Entry->second = decode(Item);
+    ++Entry;
   }
-  m_Entries.erase(Known, m_Entries.end());
+  m_Entries.erase(Entry, m_Entries.end());
 }
 
 std::vector<const UpstreamInstance *> UpstreamRegistry::validEntries() const {
--- a/packages/gateway/process/UpstreamRegistry.h
+++ b/packages/gateway/process/UpstreamRegistry.h
@@ -14,34 +14,35 @@
 
 class DecisionLog;
 
-/// Decodes each entry once for each of its revisions; an entry that cannot be
-/// decoded is left out and logged.
+/// Decodes each entry of the list once for each revision of it. An entry that
+/// cannot be decoded is logged and left out.
 class UpstreamRegistry {
 public:
+  /// Decodes an entry. \throws DecodeError when it is invalid.
   using Decode = std::function<UpstreamInstance(const std::string &Key,
                                                 const std::string &Value)>;
 
   UpstreamRegistry(Decode Decoder, DecisionLog &Log)
       : m_Decode(std::move(Decoder)), m_Log(Log) {}
 
-  /// Takes over the list that \p Items describe. \returns its shortlist, as of
-  /// \p Revision.
+  /// Replaces the list by the one in \p Items. \returns its subset for this
+  /// box, as of \p Revision.
   InstanceList read(const std::map<std::string, StoreItem> &Items,
                     StoreRevision Revision, const DataCentreMap &Map);
-  /// The same for a list that is a shortlist; it has none of its own then.
+  /// Replaces the list by one that already is a subset; subset() is empty then.
   InstanceList readSubset(const std::map<std::string, StoreItem> &Items,
                           StoreRevision Revision);
 
-  /// Of the list that was last read.
+  /// Subsets of the list that was last read.
   const Shortlist &subset() const { return m_Subset; }
-  /// Entries of that list.
+  /// Number of entries of the list, invalid ones included.
   std::size_t size() const { return m_Entries.size(); }
 
 private:
   struct Decoded {
     StoreRevision m_Revision = 0;
     UpstreamInstance m_Instance;
-    bool m_Valid = false;
+    bool m_Valid = false; ///< Whether m_Instance could be decoded.
   };
 
   Decoded decode(const StoreItem &Item);
--- a/packages/gateway/process/WatchCache.cpp
+++ b/packages/gateway/process/WatchCache.cpp
@@ -7,19 +7,20 @@
 
 namespace {
 
-/// While a store drops its history, watches may hear nothing of changes for a
-/// second, and one that ends in that second says that there were none. The next
-/// watches go on from before it for this long, so that they bring what was
-/// missed, or the store says that it is forgotten and it is read.
+/// While a store compacts its history, watches may miss changes for up to a
+/// second, and one that ends in that second reports that there were none. For
+/// this long the next watches continue from the revision before, so that they
+/// deliver what was missed, or the store reports the history as compacted and
+/// the prefix is read anew.
 constexpr Duration HistoryLossWindow = 2s;
 
-/// The pause after news that the ages which boxes bear allow for.
+/// The delay after changes that the tolerated ages of a copy already allow for.
 constexpr Duration UsualCoalesceDelay = 200ms;
 
 } // namespace
 
-const char *toString(CopySource Of) {
-  switch (Of) {
+const char *toString(CopySource Source) {
+  switch (Source) {
   case CopySource::None:
     return "none";
   case CopySource::Read:
@@ -56,7 +57,7 @@
 void WatchCache::resync() {
   if (!m_Running)
     return;
-  // It may wait on a connection that is dead, and then fails soon.
+  // The read may wait on a dead connection, and then fails soon.
   if (m_Reading) {
     m_ReadAgain = true;
     return;
@@ -70,8 +71,8 @@
 void WatchCache::watchClosely(bool Closely) {
   if (std::exchange(m_Closely, Closely) == Closely)
     return;
-  // The watch that is under way may have been lost already; another brings the
-  // same news with one call less than reading anew.
+  // The current watch may already be lost; another one delivers the same
+  // changes with one call less than a read.
   if (!Closely || !m_Running || m_Reading || m_WaitSent <= ShortWait)
     return;
   m_Timer = Timer();
@@ -104,9 +105,9 @@
   m_SentAt = EventLoop::now();
   m_Store.range(m_Opts.m_Prefix, Kind,
                 [this, Generation,
-                 Alive = std::weak_ptr<bool>(m_Alive)](StoreItems Read) {
+                 Alive = std::weak_ptr<bool>(m_Alive)](StoreItems Result) {
                   if (!Alive.expired() && Generation == m_Generation)
-                    onRead(std::move(Read));
+                    onRead(std::move(Result));
                 });
 }
 
@@ -118,36 +119,36 @@
   reportRead(End);
 }
 
-void WatchCache::onRead(StoreItems Read) {
+void WatchCache::onRead(StoreItems Result) {
   m_Reading = false;
   ReadOutcome End{.m_Kind = m_ReadKind,
-                  .m_Status = Read.m_Status,
+                  .m_Status = Result.m_Status,
                   .m_Took = EventLoop::now() - m_SentAt};
-  if (Read.m_Status != StoreStatus::Ok)
+  if (Result.m_Status != StoreStatus::Ok)
     return onReadFailed(End);
-  End.m_At = Read.m_At;
-  for (const StoreItem &Each : Read.m_Items)
+  End.m_At = Result.m_At;
+  for (const StoreItem &Each : Result.m_Items)
     End.m_Bytes += Each.m_Value.size();
   reportRead(End);
   m_Backoff.reset();
   m_ConfirmedAt = m_SentAt;
-  // An answer that was under way for long must not undo newer changes.
-  if (Read.m_At >= m_Revision && takeOver(std::move(Read)))
+  // A late answer must not undo newer changes.
+  if (Result.m_At >= m_Revision && takeOver(std::move(Result)))
     m_Hooks.m_Changed();
   if (m_Running)
     watch();
 }
 
-/// \returns whether that is news: not when what was read is what is known.
-bool WatchCache::takeOver(StoreItems Read) {
+/// \returns whether the read brought changes.
+bool WatchCache::takeOver(StoreItems Result) {
   std::map<std::string, StoreItem> Items;
-  for (StoreItem &Each : Read.m_Items)
+  for (StoreItem &Each : Result.m_Items)
     Items.emplace(Each.m_Key, std::move(Each));
-  m_WatchedTo = std::max(m_WatchedTo, Read.m_At);
-  // The revision rises also when nothing has changed: two boxes that read at
-  // different times would each take the other for behind, and both go on
+  m_WatchedTo = std::max(m_WatchedTo, Result.m_At);
+  // The revision rises even when no key has changed: otherwise two boxes that
+  // read at different times would each consider the other one outdated and keep
   // reading.
-  const bool First = std::exchange(m_Revision, Read.m_At) == 0;
+  const bool First = std::exchange(m_Revision, Result.m_At) == 0;
   m_Part = false;
   if (!First && Items == m_Items)
     return false;
@@ -156,14 +157,15 @@
   return true;
 }
 
-/// Update say that the copy was the store's state when their watch was sent.
-/// What has to be known as of lately is then asked for sooner.
+/// Changes prove only that the copy was the store's state when their watch was
+/// sent. A copy that has to be confirmed often is therefore watched again with
+/// a shorter wait.
 Duration WatchCache::nextWait(TimePoint Now) const {
   constexpr Duration LeastWait = 100ms;
   if (!m_Closely && m_Opts.m_Wait > ShortWait)
     return m_Opts.m_Wait;
-  // A longer pause after news is taken off the wait: the copy would be older
-  // than others bear before they read themselves.
+  // A longer delay after changes is subtracted from the wait, or the copy would
+  // become older than other boxes tolerate before they read themselves.
   const Duration Longest =
       ShortWait -
       std::max<Duration>(0us, m_Opts.m_CoalesceDelay - UsualCoalesceDelay);
@@ -185,15 +187,15 @@
 }
 
 bool WatchCache::adopt(const Delta &Update) {
-  const bool OfOtherKind = Update.m_Part != m_Part;
+  const bool KindDiffers = Update.m_Part != m_Part;
   const bool Replaces =
-      Update.m_Since == 0 && OfOtherKind && Update.m_Revision >= m_Revision;
+      Update.m_Since == 0 && KindDiffers && Update.m_Revision >= m_Revision;
   if (Update.m_Revision <= m_Revision && !Replaces)
     return true;
-  if (Update.m_Since > m_Revision || (Update.m_Since > 0 && OfOtherKind))
+  if (Update.m_Since > m_Revision || (Update.m_Since > 0 && KindDiffers))
     return false;
-  // Nothing has changed that this copy holds; with a long list this is most of
-  // what a leaf hears.
+  // No key that this copy holds has changed; with a long list these are most
+  // updates that a leaf receives.
   if (Update.m_Since > 0 && Update.m_Items.empty() && Update.m_Gone.empty()) {
     m_Revision = Update.m_Revision;
     return true;
@@ -243,7 +245,9 @@
   return Result;
 }
 
-/// A watch that waited longer than such a gap lasts would have been cut by it.
+/// Records that a watch ended without changes. A watch that waited longer than
+/// a compaction takes would have been interrupted by it and can be trusted at
+/// once.
 void WatchCache::recordNoChange(StoreRevision To, TimePoint Now) {
   if (m_WaitSent >= HistoryLossWindow) {
     m_WatchedTo = std::max(m_WatchedTo, To);
@@ -262,13 +266,13 @@
   if (Update.m_Status != StoreStatus::Ok)
     return schedule(m_Backoff.next(), &WatchCache::read);
   m_Backoff.reset();
-  const TimePoint Waited = m_SentAt + m_WaitSent;
-  const bool WaitedOut = Update.m_Changes.empty() && EventLoop::now() >= Waited;
-  m_ConfirmedAt = WaitedOut ? Waited : m_SentAt;
+  const TimePoint WaitEnd = m_SentAt + m_WaitSent;
+  const bool TimedOut = Update.m_Changes.empty() && EventLoop::now() >= WaitEnd;
+  m_ConfirmedAt = TimedOut ? WaitEnd : m_SentAt;
   if (Update.m_Changes.empty())
     recordNoChange(Update.m_At, EventLoop::now());
   for (const StoreChange &Change : Update.m_Changes) {
-    // Adopted in the meantime.
+    // Already received from another box.
     if (Change.m_Revision <= m_Revision)
       continue;
     if (Change.m_Value)
--- a/packages/gateway/process/WatchCache.h
+++ b/packages/gateway/process/WatchCache.h
@@ -1,5 +1,6 @@
 /// \file
-/// A copy of all keys under one prefix of the store, kept by watching.
+/// A local copy of all keys under one prefix of the store, kept current by
+/// watching.
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_WATCHCACHE_H
 #define HAVENSTAIR_GATEWAY_PROCESS_WATCHCACHE_H
 
@@ -14,42 +15,45 @@
 
 namespace havenstair {
 
-/// On which way a copy came to be what it is.
+/// Where the newest change of a copy came from.
 enum class CopySource {
-  None, ///< Nothing is known yet.
+  None, ///< There is no copy yet.
   Read,
   Watch,
-  Peer ///< Another box sent its own.
+  Peer ///< Another box sent its copy.
 };
 
-const char *toString(CopySource Of);
+const char *toString(CopySource Source);
 
-/// Reads the prefix, then watches it from there on. Reads anew when the store
-/// forgot the changes in between.
+/// Reads the prefix, then watches it from that revision on. Reads it anew when
+/// the store has compacted the changes in between.
 class WatchCache {
 public:
-  /// How long a watch waits where a lost one would soon do harm.
+  /// How long a watch waits where one whose connection was silently lost would
+  /// soon do harm.
   static constexpr Duration ShortWait = 900ms;
 
   struct Options {
     std::string m_Prefix;
-    Duration m_Wait = ShortWait;
-    /// Pause after news before the next watch, so that changes that come
-    /// together cost one call.
+    Duration m_Wait = ShortWait; ///< How long a watch waits for changes.
+    /// Delay after changes before the next watch, so that changes that come
+    /// close together cost one call.
     Duration m_CoalesceDelay = 0us;
-    /// How the first read is made; what must be as new as the store from the
-    /// start is read so.
+    /// How the first read is made; Current for a prefix that must not be
+    /// outdated from the start.
     ReadKind m_FirstRead = ReadKind::Current;
+    /// Backoff of failed reads.
     Backoff::Options m_Retry{.m_First = 100ms, .m_Cap = 1s, .m_Random = {}};
   };
-  /// How a read of the whole prefix ended.
+  /// Outcome of a read of the whole prefix.
   struct ReadOutcome {
     ReadKind m_Kind = ReadKind::Current;
     StoreStatus m_Status = StoreStatus::Lost;
     Duration m_Took = 0us;
-    std::size_t m_Bytes = 0;  ///< Of the values.
-    StoreRevision m_At = 0;   ///< The store's, of a good answer.
-    Duration m_NextTry = 0us; ///< Pause before the next one; 0 for none.
+    std::size_t m_Bytes = 0; ///< Total size of the values.
+    StoreRevision m_At = 0;  ///< The store's revision, of a successful read.
+    /// Delay before the next read; 0 when none is scheduled.
+    Duration m_NextTry = 0us;
   };
   struct Hooks {
     /// The copy has changed, or was read for the first time.
@@ -63,60 +67,67 @@
   WatchCache(const WatchCache &) = delete;
   WatchCache &operator=(const WatchCache &) = delete;
 
-  /// A read that is under way is waited for, here and below: a large value
-  /// takes a slow link most of a second, its bytes come whether or not they are
-  /// waited for, and one read more would make both late.
+  /// Reads the prefix and begins to watch it.
+  ///
+  /// A read in flight is never abandoned, here and below: a large value takes
+  /// most of a second over a slow link and its bytes arrive in any case, so
+  /// that a second read would only delay both.
   void start();
-  /// Gives up the watch and reads anew; for a store that is back.
+  /// Abandons the watch and reads anew, for when the store has come back. A
+  /// read in flight is repeated only if it fails.
   void resync();
-  /// Reads the prefix without watching it afterwards, when this copy is not
-  /// kept by watching anyway.
+  /// Reads the prefix once without watching it afterwards. Does nothing while
+  /// this copy is watched, or being read.
   void readOnce(ReadKind Kind);
-  /// Whether a read is under way.
+  /// Whether a read is in flight.
   bool reading() const { return m_Reading; }
-  /// Stops watching; start() begins again.
+  /// Stops watching; start() resumes.
   void stop();
+  /// Whether the prefix is watched, or read to be watched.
   bool running() const { return m_Running; }
-  /// Pauses between tries while the store does not answer.
+  /// Backoff while the store does not answer.
   void setRetry(const RetryPauses &Pauses) { m_Backoff.setPauses(Pauses); }
-  /// Takes effect after the next news.
+  /// Takes effect after the next changes.
   void setCoalesceDelay(Duration CoalesceDelay) {
     m_Opts.m_CoalesceDelay = CoalesceDelay;
   }
-  /// Whether a watch that is lost on the way must be found within ShortWait.
+  /// Sets whether a watch whose connection was silently lost has to be detected
+  /// within ShortWait.
   void watchClosely(bool Closely);
-  /// What this copy holds was the store's state at that time or later: when the
-  /// last answered call was sent, or when a watch that brought nothing had
-  /// waited for as long as it asked. When the answer came says less: it may
+  /// The copy held the store's state at this time or later: when the last
+  /// answered call was sent, or when a watch without changes had waited as long
+  /// as it asked for. The arrival of an answer proves less, as the answer may
   /// have waited in a socket.
   TimePoint confirmedAt() const { return m_ConfirmedAt; }
 
-  /// What has changed since a revision; since 0, everything.
+  /// The changes since a revision; since 0, the whole copy.
   struct Delta {
     StoreRevision m_Since = 0;
-    StoreRevision m_Revision = 0;
-    bool m_Part = false; ///< Not all keys, but those that a leaf needs.
+    StoreRevision m_Revision = 0; ///< The changes are complete up to here.
+    bool m_Part = false;          ///< Holds only the keys that a leaf needs.
     std::vector<StoreItem> m_Items;
-    std::vector<std::string> m_Gone;
+    std::vector<std::string> m_Gone; ///< Keys that were removed.
   };
 
-  /// Takes over what another process read. \returns false when something is
-  /// missing between this copy and \p Update, or one is a part and the other is
-  /// not.
+  /// Merges what another process has read. \returns false when changes between
+  /// this copy and \p Update are missing, or when one of them is partial and
+  /// the other is not.
   bool adopt(const Delta &Update);
   /// Whether this copy holds only what a leaf needs.
   bool partial() const { return m_Part; }
-  /// The whole copy.
+  /// Returns the whole copy.
   Delta snapshot() const;
-  /// What has changed since the last call; the whole copy at the first.
+  /// Returns the changes since the last call; the whole copy at the first call.
   Delta takeChanges();
 
+  /// Prefix of the copied keys.
   const std::string &prefix() const { return m_Opts.m_Prefix; }
+  /// The copied items by key.
   const std::map<std::string, StoreItem> &items() const { return m_Items; }
-  /// Revision of the newest change in the copy, or of the last whole read; 0
-  /// before it.
+  /// Revision of the newest change in the copy, or of the last read of the
+  /// prefix; 0 before the first.
   StoreRevision revision() const { return m_Revision; }
-  /// How the newest change came.
+  /// Where the newest change came from.
   CopySource source() const { return m_Source; }
 
 private:
@@ -126,8 +137,8 @@
   void reportRead(const ReadOutcome &End) const;
   void watch();
   Duration nextWait(TimePoint Now) const;
-  void onRead(StoreItems Read);
-  bool takeOver(StoreItems Read);
+  void onRead(StoreItems Result);
+  bool takeOver(StoreItems Result);
   void onChanges(const StoreChanges &Update);
   void recordNoChange(StoreRevision To, TimePoint Now);
   void schedule(Duration Delay, void (WatchCache::*Step)());
@@ -138,26 +149,27 @@
   Hooks m_Hooks;
   Backoff m_Backoff;
   std::map<std::string, StoreItem> m_Items;
-  /// As it was when changes were last taken.
+  /// Revision of each key when takeChanges() was last called.
   std::map<std::string, StoreRevision> m_TakenRevisions;
   StoreRevision m_TakenRevision = 0;
   StoreRevision m_Revision = 0;
   StoreRevision m_WatchedTo =
-      0; ///< Nothing has changed from m_Revision to there.
-  /// What a short watch without news said, and when: believed after Settle.
+      0; ///< No key has changed from m_Revision up to here.
+  /// Revision that a short watch without changes reported, and when; trusted
+  /// only after HistoryLossWindow.
   StoreRevision m_UnchangedTo = 0;
   TimePoint m_UnchangedAt{};
   CopySource m_Source = CopySource::None;
   bool m_Part = false;
   bool m_Closely = false;
-  TimePoint m_SentAt{};      ///< Of the call that is under way.
-  Duration m_WaitSent = 0us; ///< How long that watch may wait.
+  TimePoint m_SentAt{};      ///< When the current call was sent.
+  Duration m_WaitSent = 0us; ///< Longest wait of the current watch.
   TimePoint m_ConfirmedAt{};
   bool m_Running = false;
   bool m_Reading = false;
-  ReadKind m_ReadKind = ReadKind::Current; ///< Of the read under way.
-  bool m_ReadAgain = false; ///< At once, should the read under way fail.
-  /// Answers of earlier calls are dropped.
+  ReadKind m_ReadKind = ReadKind::Current; ///< Kind of the read in flight.
+  bool m_ReadAgain = false; ///< Read again at once if the read in flight fails.
+  /// Answers to calls of an earlier generation are dropped.
   std::uint64_t m_Generation = 0;
   std::shared_ptr<void> m_Watching;
   Timer m_Timer;
--- a/packages/gateway/request/ProxiedRequest.cpp
+++ b/packages/gateway/request/ProxiedRequest.cpp
@@ -124,7 +124,7 @@
     return wait(*Hold);
   const auto Excluded = [&](const InstanceId &Id) {
     return m_Tried.contains(Id) || m_Permit.excludes(Id, Now) ||
-           State.m_Words.retryAt(Id, Now);
+           State.m_Signals.retryAt(Id, Now);
   };
   auto Candidates = reach().candidates(Excluded, Now);
   m_Crashes.keepApart(Candidates, m_MayHaveRun, Now);
@@ -207,7 +207,7 @@
     return false;
   const auto Nobody = [](const InstanceId &) { return false; };
   const auto Refusal = refuseForRetryAfter(reach().candidates(Nobody, Now),
-                                           m_Owner.m_State.m_Words,
+                                           m_Owner.m_State.m_Signals,
                                            m_Owner.m_Hooks.m_Random(), Now);
   const auto ServesAt = reach().servesAt(Now);
   if (!Refusal || (ServesAt && *ServesAt < Now + Refusal->m_After))
--- a/tests/gateway/ConfigSendQueueTest.cpp
+++ b/tests/gateway/ConfigSendQueueTest.cpp
@@ -6,16 +6,15 @@
 
 using namespace havenstair;
 
-TEST_CASE(
-    "Boxes that ask for a configuration while links are busy have it once "
-    "they are free",
-    "[gateway][configuration]") {
+TEST_CASE("Boxes that request a configuration while links are busy get it once "
+          "they are free",
+          "[gateway][configuration]") {
   const BoxName A("a");
   const BoxName B("b");
   const BoxName C("c");
   std::vector<BoxName> Sent;
   std::set<BoxName> Slow;
-  std::size_t Capacity = 1; // Copies that fit onto the links.
+  std::size_t Capacity = 1; // Number of copies that fit onto the links.
   int Delayed = 0;
   ConfigSendQueue Queue(
       {.m_Busy = [&] { return Sent.size() >= Capacity; },
@@ -37,7 +36,7 @@
     Queue.sendWaiting(2);
     REQUIRE(Sent == std::vector{A, B, C});
   }
-  SECTION("not past one whose own link is slow") {
+  SECTION("but not while a box's own link is slow") {
     Capacity = 9;
     Slow.insert(B);
     Queue.sendWaiting(2);
@@ -46,14 +45,14 @@
     Queue.sendWaiting(2);
     REQUIRE(Sent == std::vector{A, C, B});
   }
-  SECTION("unless they have it, or are gone") {
+  SECTION("unless they have got it elsewhere or are gone") {
     Capacity = 9;
     Queue.recordVersion(B, 2);
     Queue.forget(C);
     Queue.sendWaiting(2);
     REQUIRE(Sent == std::vector{A});
   }
-  SECTION("and no box that has as much is sent one") {
+  SECTION("and a box that has the version is not sent it") {
     Capacity = 9;
     Queue.request(A, 2, 2);
     REQUIRE(Sent == std::vector{A});
--- a/tests/gateway/ConfigurationTest.cpp
+++ b/tests/gateway/ConfigurationTest.cpp
@@ -1,22 +1,20 @@
 /// \file
-/// How boxes learn of configurations while the ways to them are harmed.
+/// How boxes learn of configurations while their connections are broken.
 ///
-/// Users ran seven boxes as real processes. A version that their store had
-/// confirmed was not in force in time, on most runs: requests on a route that
-/// it added were refused as unknown, others ran as only the version before
-/// allowed.
+/// In a fleet of seven boxes, a version that the store had confirmed was not in
+/// force in time: requests on a route that it added were refused as unknown,
+/// and others were treated by the version before.
 ///
-/// Order of events: open connections fell silent without a reset while new ones
+/// Open connections had stopped delivering data without a reset, while new ones
 /// worked. A box's watch of the configuration waited on such a connection for
-/// up to 20 s. The links between boxes were as silent, or the watches of all
-/// boxes were, so that nobody knew of the new version who could have told.
+/// up to 20 s, and so did the links between boxes, or the watches of all boxes,
+/// so that no box knew of the new version and could report it.
 ///
-/// Cause: each box took it that others would tell it of what its own watch
-/// missed, and none of them had to have asked. The evidence: in a soak of eight
-/// boxes whose watches were silenced at one moment, all showed the version
-/// before for 9 s; their logs told ages of their copies of many seconds and no
-/// word of others, while other calls to the store were answered all the time. A
-/// box that was told asked nobody while still newer versions came.
+/// Each box relied on others to report what its own watch missed, and none of
+/// them was sure to have asked the store. In a soak of eight boxes whose
+/// watches were silenced at one moment, all served by the version before for 9
+/// s, although other calls to the store were answered all the time. A box that
+/// had a version reported did not request it while still newer versions came.
 #include "gateway/GatewayTest.h"
 #include "platform/StoreClient.h"
 #include "standin/LoopbackProxy.h"
@@ -31,7 +29,7 @@
 constexpr const char *ConfigPrefix = "op/config";
 constexpr const char *BoxPrefix = "havenstair/";
 
-/// Some boxes before one store.
+/// Some boxes that share one store.
 class ConfigurationTest : public GatewayTest {
 public:
   static constexpr std::size_t Boxes = 3;
@@ -49,7 +47,7 @@
                return Box.state().ready() && Box.peers() == Boxes - 1;
              }) == Boxes;
     }));
-    // One gives orders, and reads the list for all.
+    // One box leads, and reads the list for all.
     REQUIRE(until([this] {
       return count([](const Gateway &Box) {
                return Box.leading() && Box.watchesList();
@@ -60,12 +58,12 @@
     }));
   }
 
-  template <typename Holds> std::size_t count(Holds Of) const {
+  template <typename Predicate> std::size_t count(Predicate Holds) const {
     return static_cast<std::size_t>(
         std::count_if(m_Boxes.begin(), m_Boxes.end(),
-                      [&](const auto &Each) { return Of(*Each); }));
+                      [&](const auto &Each) { return Holds(*Each); }));
   }
-  /// Boxes that serve by \p Version or a later one.
+  /// Number of boxes that serve by \p Version or a later one.
   std::size_t serving(ConfigVersion Version) const {
     return count([Version](const Gateway &Box) {
       return Box.state().configVersion() >= Version;
@@ -77,14 +75,14 @@
 
 } // namespace
 
-TEST_CASE("Boxes whose watches of the configuration are all dead learn of it",
+TEST_CASE("Boxes learn of a configuration though all their watches are dead",
           "[gateway][configuration]") {
   ConfigurationTest Test;
   while (Test.m_Store.silenceWatch(ConfigPrefix)) {
   }
   Test.configure(2);
-  // Operators give boxes 2 s: within them a watch of 0.9 s without news, as the
-  // box that gives orders keeps it on the boxes, ends three times.
+  // Operators give boxes 2 s: in that time a watch of 0.9 s without changes, as
+  // the leader keeps it on the list of boxes, ends three times.
   constexpr std::size_t Watches = 3;
   const std::size_t Before = Test.m_Store.waitedOut(BoxPrefix);
   REQUIRE(Test.until([&] {
@@ -94,11 +92,12 @@
   REQUIRE(Test.serving(2) == ConfigurationTest::Boxes);
 }
 
-TEST_CASE("Versions that come fast do not keep a box from reading them",
+TEST_CASE("Versions in quick succession do not keep a box from reading them",
           "[gateway][configuration]") {
   ConfigurationTest Test;
   REQUIRE(Test.m_Store.silenceWatch(ConfigPrefix));
-  // As many in quick series as fit into the 2 s that operators give boxes.
+  // As many versions in quick succession as fit into the 2 s that operators
+  // give boxes.
   constexpr Duration Apart = 200ms;
   constexpr ConfigVersion Last = 11;
   ConfigVersion Written = 1;
@@ -112,14 +111,14 @@
   REQUIRE(Test.serving(2) == ConfigurationTest::Boxes);
 }
 
-// What a box believes its connections to the store to be must not cost it one
-// time-out after the other when all of them have fallen silent at one moment.
+// When all connections have fallen silent at one moment, a box must not wait
+// for one time-out after the other.
 TEST_CASE("A call after a lost answer takes a new connection to the store",
           "[gateway][configuration]") {
   GatewayTest Test;
   LoopbackProxy Link(Test.m_Loop, {"127.0.0.1", 0}, Test.m_Store.endpoint());
   platform::StoreClient Client(Test.m_Http, Link.endpoint());
-  // Two connections that rest for seconds.
+  // Two connections that stay idle for seconds.
   int Woken = 0;
   std::array<std::shared_ptr<void>, 2> Watches;
   for (auto &Each : Watches)
@@ -143,15 +142,15 @@
   REQUIRE(Answers == std::vector{StoreStatus::Lost, StoreStatus::Ok});
 }
 
-TEST_CASE("The parts of the time until a configuration is in force add up to "
-          "less than operators give",
+TEST_CASE("The delays until a configuration is in force add up to less than "
+          "operators give",
           "[gateway][configuration]") {
-  constexpr Duration Given = 2s;
-  // Two calls and two words between boxes, on a box that is slow to its loop.
-  constexpr Duration CallsAndWords = 4 * 50ms;
-  constexpr Duration FoundDead =
+  constexpr Duration Allowed = 2s;
+  // Two calls and two messages between boxes, on a box with a slow event loop.
+  constexpr Duration CallsAndMessages = 4 * 50ms;
+  constexpr Duration DetectDead =
       WatchCache::ShortWait + platform::StoreClient::WatchTimeout;
-  REQUIRE(FoundDead + ConfigPursuit::WatchTells + CallsAndWords < Given);
-  // Connections that fell silent: boxes count as reached again after 3 s.
+  REQUIRE(DetectDead + ConfigPursuit::WatchTells + CallsAndMessages < Allowed);
+  // Links that fell silent: boxes must count as reachable again after 3 s.
   REQUIRE(PeerLink::MostQuietLooks * PeerLink::LookEvery <= 3s);
 }
--- a/tests/gateway/FleetTest.cpp
+++ b/tests/gateway/FleetTest.cpp
@@ -7,7 +7,7 @@
 using Request = StandinRunner::Request;
 using ConnectionPtr = StandinRunner::ConnectionPtr;
 
-/// Two boxes before one store.
+/// Two boxes that share one store.
 class FleetTest : public GatewayTest {
 public:
   FleetTest() {
@@ -35,7 +35,7 @@
 
 } // namespace
 
-TEST_CASE("One box gives orders, and the other when that one leaves",
+TEST_CASE("One box leads, and the other takes over when that one leaves",
           "[gateway][fleet]") {
   FleetTest Test;
   REQUIRE(Test.until([&] { return Test.leaders() == 1; }));
@@ -46,7 +46,7 @@
   REQUIRE(Test.leaders() == 1);
 }
 
-TEST_CASE("The order giver goes on while the store is away",
+TEST_CASE("The leader goes on while the store is unreachable",
           "[gateway][fleet]") {
   FleetTest Test;
   REQUIRE(Test.until([&] { return Test.leaders() == 1; }));
@@ -56,7 +56,7 @@
   REQUIRE(Test.leaders() == 1);
 }
 
-TEST_CASE("News of runners reaches a box that does not watch the list itself",
+TEST_CASE("A box that does not watch the list learns of new upstreams",
           "[gateway][fleet]") {
   FleetTest Test;
   REQUIRE(Test.until([&] { return Test.leaders() == 1; }));
@@ -70,7 +70,7 @@
   };
   REQUIRE(Test.until(
       [&] { return Known(*Test.m_Gateway) && Known(*Test.m_Other); }));
-  SECTION("and is read from the store when the relay is gone") {
+  SECTION("and reads the store when the box that watches is gone") {
     const bool First = Test.m_Gateway->leading();
     auto &Left = First ? Test.m_Other : Test.m_Gateway;
     (First ? Test.m_Gateway : Test.m_Other).reset();
@@ -78,7 +78,7 @@
   }
 }
 
-TEST_CASE("A box whose watch of the configuration is dead hears from others",
+TEST_CASE("A box with a dead watch learns the configuration from others",
           "[gateway][fleet]") {
   FleetTest Test;
   REQUIRE(Test.until([&] { return Test.m_Store.silenceWatch("op/config"); }));
@@ -91,7 +91,7 @@
   }));
 }
 
-TEST_CASE("A box that hears no others finds a dead watch of the configuration",
+TEST_CASE("A box without peers detects a dead watch of the configuration",
           "[gateway][fleet]") {
   GatewayTest Test;
   Test.start();
@@ -101,11 +101,11 @@
       [&] { return Test.m_Gateway->state().m_Config->m_Version == 2; }));
 }
 
-TEST_CASE("An order giver that was replaced stops though its watch is dead",
+TEST_CASE("A leader that was replaced stops though its watch is dead",
           "[gateway][fleet]") {
   FleetTest Test;
   REQUIRE(Test.until([&] { return Test.leaders() == 1; }));
-  // Both boxes' watches are lost, and all links with them stay as they are.
+  // Both boxes' watches are lost, while all links stay up.
   REQUIRE(Test.until([&] { return Test.m_Store.silenceWatch("havenstair/"); }));
   Test.m_Store.silenceWatch("havenstair/");
   Test.m_Store.put("havenstair/giver", "somebody else");
--- a/tests/gateway/GatewayTest.h
+++ b/tests/gateway/GatewayTest.h
@@ -1,5 +1,6 @@
 /// \file
-/// A gateway between a stand-in store and stand-in runners, all on one loop.
+/// A gateway between a stand-in store and stand-in upstreams, all on one event
+/// loop.
 #ifndef HAVENSTAIR_TESTS_GATEWAY_GATEWAYTEST_H
 #define HAVENSTAIR_TESTS_GATEWAY_GATEWAYTEST_H
 
@@ -23,8 +24,8 @@
 
 namespace havenstair {
 
-/// Routes of the test's configuration: `/safe/`, `/unsafe/`, `/stream/` (not
-/// resumable) and `/resumable/`, all of the host `test.example`.
+/// Fixture whose configuration has the routes `/safe/`, `/unsafe/`, `/stream/`
+/// (not resumable) and `/resumable/`, all of the host `test.example`.
 class GatewayTest {
 public:
   using Request = StandinRunner::Request;
@@ -32,7 +33,7 @@
 
   GatewayTest() : m_Store(m_Loop), m_Http(m_Loop) {}
 
-  /// Adds a runner that is listed under \p Id.
+  /// Adds an upstream that is listed under \p Id and behaves as \p Behave says.
   StandinRunner &addRunner(const std::string &Id,
                            StandinRunner::Behaviour Behave) {
     auto &Runner = m_Runners[Id];
@@ -55,7 +56,7 @@
         {"version", "v1"},    {"coldRemainingMs", 0}};
   }
 
-  /// Lists the runner \p Id as one that started at \p Born.
+  /// Lists the upstream \p Id with the start time \p Born.
   void listStarted(const std::string &Id, UpstreamBirth Born) {
     Json Entry = entry(Id, "ready");
     Entry["born"] = Born;
@@ -90,8 +91,8 @@
     m_Store.put("op/config", dumpJson(Config));
   }
 
-  /// Lists the runner \p Id as an engine of the service `llm` that holds
-  /// \p Models.
+  /// Lists the upstream \p Id as an engine of the service `llm` that holds \p
+  /// Models.
   void listEngine(const std::string &Id, const std::vector<std::string> &Models,
                   UpstreamBirth Born = 0, const std::string &DataCentre = "a") {
     Json Resident = Json::array();
@@ -110,8 +111,8 @@
                           {"modelList", std::move(Resident)}}));
   }
 
-  /// The configuration has one \p Route, to the service `llm`, whose engines
-  /// may hold \p Models.
+  /// Writes a configuration with one \p Route, to the service `llm`, whose
+  /// engines may hold \p Models.
   void configureEngines(Json Route, Json Models) {
     Route["service"] = "llm";
     const Json Engine{{"slots", 8},
@@ -158,18 +159,20 @@
     m_Gateway = makeGateway(options(), [this] { m_Stopped = true; });
   }
 
-  /// Starts a gateway that knows configuration and runners.
+  /// Starts a gateway and waits until it has the configuration and the list of
+  /// upstreams.
   void start() {
     configure(1);
     startGateway();
     REQUIRE(until([&] { return m_Gateway->state().ready(); }));
   }
 
+  /// Runs the loop until \p Done. \returns false after 20 s without it.
   bool until(const std::function<bool()> &Done) {
     return m_Loop.runUntil(Done, 20s);
   }
 
-  /// Lets \p For go by: buckets fill with time, and lists grow old.
+  /// Runs the loop for \p For, so that token buckets fill and lists age.
   void wait(Duration For) {
     bool Over = false;
     const Timer End = m_Loop.after(For, [&] { Over = true; });
@@ -210,6 +213,7 @@
     return fetch(call(Target, Id, Body));
   }
 
+  /// How often requests with the attempt id \p Id arrived at any upstream.
   std::size_t arrivals(const std::string &Id) const {
     std::size_t Sum = 0;
     for (const auto &[Name, Runner] : m_Runners)
@@ -217,7 +221,7 @@
     return Sum;
   }
 
-  /// An organisation in the platform's form, with one key.
+  /// An organisation in the platform's format, with one API key.
   static Json organisation(const std::string &Name, const std::string &Key,
                            double TokensPerS = 0) {
     return {{"name", Name},
@@ -229,10 +233,11 @@
             {"uncachedTokens", 200}};
   }
 
-  /// The box that can read no version but the first.
+  /// A box that can decode only configuration version 1.
   BoxName m_OutdatedBox;
   int m_TimeoutMs = 8000;
-  Json m_Organisations = Json::array(); ///< Of the next configuration.
+  /// Organisations of the next configuration.
+  Json m_Organisations = Json::array();
   int m_LogDescriptor = open("/dev/null", O_WRONLY);
   EventLoop m_Loop;
   StandinStore m_Store;
