--- a/tests/gateway/LargeFleetTest.cpp
+++ b/tests/gateway/LargeFleetTest.cpp
@@ -13,14 +13,14 @@
 using Request = StandinRunner::Request;
 using ConnectionPtr = StandinRunner::ConnectionPtr;
 
-/// More boxes than a full mesh is made for, before one store and one runner.
-/// Three of them are strong.
+/// More boxes than link to each other in a full mesh, with one store and one
+/// upstream. Three of them are strong.
 class LargeFleetTest : public GatewayTest {
 public:
   static constexpr std::size_t Boxes = 20;
   static constexpr std::size_t Strong = 3;
 
-  /// With \p Engines listed, three models on each, before the boxes start.
+  /// Lists \p Engines engines, three models on each, before the boxes start.
   explicit LargeFleetTest(int Engines = 0) {
     for (int Number = 0; Number < Engines; ++Number)
       listSilentEngine(Number);
@@ -55,7 +55,7 @@
         }));
   }
 
-  /// An engine that nobody has to reach.
+  /// Lists an engine that no box has to reach.
   void listSilentEngine(int Number) {
     Json Models = Json::array();
     for (int Step = 0; Step < 3; ++Step)
@@ -73,7 +73,7 @@
                           {"modelList", std::move(Models)}}));
   }
 
-  /// Each leaf knows as much as it is to know of \p Listed entries.
+  /// Whether each leaf knows as much as it needs of \p Listed entries.
   bool leavesKnow(std::size_t Listed) const {
     return std::all_of(
         m_Boxes.begin() + Strong, m_Boxes.end(), [&](const auto &Box) {
@@ -83,7 +83,7 @@
         });
   }
 
-  /// Bytes that all boxes have sent in frames of \p Kind.
+  /// Total size in bytes of the frames of \p Kind that all boxes have sent.
   std::uint64_t bytes(std::string_view Kind) const {
     std::uint64_t Sum = 0;
     for (const auto &Box : m_Boxes)
@@ -123,7 +123,7 @@
   const auto Leader = FindLeader();
   REQUIRE(Leader != Test.m_Boxes.end());
 
-  SECTION("news of runners reach every leaf") {
+  SECTION("changes of upstreams reach every leaf") {
     Test.addRunner("i-2", [](const Request &, const ConnectionPtr &) {});
     REQUIRE(Test.until([&] {
       return std::all_of(
@@ -132,24 +132,24 @@
           });
     }));
   }
-  SECTION("one box watches the configuration, and news of it reach all") {
+  SECTION("one box watches the configuration, and its changes reach all") {
     REQUIRE(Test.until([&] { return Test.m_Store.watches("op/config") == 1; }));
     Test.configure(2);
     REQUIRE(Test.until([&] { return Test.allServe(2); }));
     REQUIRE(Test.until([&] { return Test.m_Store.watches("op/config") == 1; }));
   }
-  SECTION("leaves have a new configuration from their relay") {
+  SECTION("leaves get a new configuration from their relay") {
     REQUIRE(Test.until([&] { return Test.m_Store.watches("op/config") == 1; }));
     const std::size_t Before = Test.m_Store.reads("op/config");
     Test.configure(2);
     REQUIRE(Test.until([&] { return Test.allServe(2); }));
-    // Relays read it themselves, stale and then current. Of leaves, one that
-    // gets no answer at once may, too.
+    // Relays read it themselves, stale and then current. A leaf may read it,
+    // too, when it gets no answer at once.
     constexpr std::size_t Leaves =
         LargeFleetTest::Boxes - LargeFleetTest::Strong;
     REQUIRE(Test.m_Store.reads("op/config") - Before < Leaves / 2);
   }
-  SECTION("or from the store, when that is away") {
+  SECTION("or from the store, when the relays are gone") {
     REQUIRE(Test.until([&] { return Test.m_Store.watches("op/config") == 1; }));
     Test.configure(2);
     for (std::size_t Number = 0; Number < LargeFleetTest::Strong; ++Number)
@@ -160,13 +160,13 @@
           [](const auto &Box) { return Box->state().configVersion() == 2; });
     }));
   }
-  SECTION("news of the configuration reach all though its watch is dead") {
+  SECTION("a new configuration reaches all though the watch of it is dead") {
     REQUIRE(Test.until([&] { return Test.m_Store.watches("op/config") == 1; }));
     REQUIRE(Test.m_Store.silenceWatch("op/config"));
     Test.configure(2);
     REQUIRE(Test.until([&] { return Test.allServe(2); }));
   }
-  SECTION("loads of a leaf reach the others, and are counted once") {
+  SECTION("loads of a leaf reach the other boxes, and are counted once") {
     const auto Leaf = Test.m_Boxes.rbegin();
     StandinRunner &Slow =
         Test.addRunner("i-3", [](const Request &, const ConnectionPtr &) {});
@@ -186,7 +186,7 @@
                          [&](const auto &Box) { return Running(*Box) == 1; });
     }));
   }
-  SECTION("and another one when that one is gone") {
+  SECTION("another box takes over when that one is gone") {
     Leader->reset();
     REQUIRE(Test.until([&] {
       return std::any_of(Test.m_Boxes.begin(), Test.m_Boxes.end(),
@@ -196,7 +196,7 @@
   }
 }
 
-TEST_CASE("Leaves follow a configuration that their relay has not taken",
+TEST_CASE("Leaves learn of a configuration that their relay cannot decode",
           "[gateway][fleet][configuration]") {
   LargeFleetTest Test;
   REQUIRE(Test.until([&] {
@@ -204,7 +204,7 @@
            std::any_of(Test.m_Boxes.begin(), Test.m_Boxes.end(),
                        [](const auto &Box) { return Box->leading(); });
   }));
-  // A relay that reads for itself alone.
+  // A relay that is not the leader, and so does not read for others.
   const auto Outdated = std::find_if(
       Test.m_Boxes.begin(), Test.m_Boxes.begin() + LargeFleetTest::Strong,
       [](const auto &Box) { return !Box->leading(); });
@@ -219,14 +219,14 @@
   }));
 }
 
-TEST_CASE("What leaves know and are told does not grow with the list",
+TEST_CASE("What leaves keep and are sent does not grow with the list",
           "[gateway][fleet][known-red]") {
   const auto Measure = [](int Engines) {
     LargeFleetTest Test(Engines);
     REQUIRE(Test.until(
         [&] { return Test.leavesKnow(static_cast<std::size_t>(Engines)); }));
     const std::uint64_t Before = Test.bytes("fleet_keys");
-    // A change of one entry, which every leaf hears of.
+    // A change of one entry, which is sent to every leaf.
     Test.addRunner("i-2", [](const Request &, const ConnectionPtr &) {});
     REQUIRE(Test.until([&] {
       return std::all_of(
@@ -238,7 +238,7 @@
   };
   const auto [KnownOfFew, BytesOfFew] = Measure(600);
   const auto [KnownOfMany, BytesOfMany] = Measure(2400);
-  // Ten models with sixteen replicas each at most, of three on an engine.
+  // Ten models with at most sixteen replicas each, three models on an engine.
   REQUIRE(KnownOfFew <= 162);
   REQUIRE(KnownOfMany <= 162);
   REQUIRE(BytesOfMany <= 2 * BytesOfFew);
@@ -253,15 +253,15 @@
   const auto Lists = [&](std::size_t Number, std::size_t Entries) {
     return Test.m_Boxes[Number]->listedUpstreams() == Entries;
   };
-  // One that took itself for a relay as it started knows all; with the next
-  // change its relay tells it what it needs.
+  // A box that acted as a relay when it started knows the whole list; with the
+  // next change its relay sends it the subset.
   const std::size_t Next = LargeFleetTest::Strong;
   Test.addRunner("i-2", [](const Request &, const ConnectionPtr &) {});
   REQUIRE(Test.until([&] {
     return Test.m_Boxes[Next]->state().m_Upstreams.current().contains("i-2") &&
            !Lists(Next, Engines + 2);
   }));
-  // The next boxes by name are relays once the strong ones are gone.
+  // The next boxes by name become relays when the strong ones are gone.
   for (std::size_t Number = 0; Number < LargeFleetTest::Strong; ++Number)
     Test.m_Boxes[Number].reset();
   REQUIRE(Test.until([&] { return Lists(Next, Engines + 2); }));
--- a/tests/gateway/LeafSubsetsTest.cpp
+++ b/tests/gateway/LeafSubsetsTest.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// A store that nobody asks: the list is told.
+/// A store that is never called: the list is set by the test.
 class UnusedStore : public CoordinationStore {
 public:
   void range(const std::string &, ReadKind, ItemsDone) override {}
@@ -28,7 +28,7 @@
   void revokeLease(LeaseId, Done) override {}
 };
 
-/// A relay's list of engines with one model, and what its leaves follow.
+/// A relay's list of engines with one model, and the copy of one of its leaves.
 class LeafSubsetsTest {
 public:
   LeafSubsetsTest()
@@ -66,7 +66,7 @@
     m_Pending.m_Gone.push_back(Key);
   }
 
-  /// What was put and removed becomes the relay's list.
+  /// Applies what was put and removed to the relay's list.
   void change() {
     m_Pending.m_Since = m_List.revision();
     m_Pending.m_Revision = m_Revision;
@@ -74,7 +74,8 @@
     m_Registry.read(m_List.items(), m_List.revision(), {});
   }
 
-  /// \returns whether the leaf was told something at \p Now.
+  /// Sends the leaf its update, if one is due at \p Now. \returns whether it
+  /// was.
   bool sendUpdate(TimePoint Now) {
     const auto Update =
         m_Subsets.takeUpdate(m_Here, m_List, m_Registry.subset(), Now);
@@ -110,13 +111,13 @@
 
 } // namespace
 
-TEST_CASE("A leaf follows the shortlist of its data centre",
+TEST_CASE("A leaf follows the subset of upstreams of its data centre",
           "[gateway][fleet]") {
   LeafSubsetsTest Test;
   const auto Known = Test.m_Leaf.items();
   REQUIRE(Test.m_Leaf.partial());
   REQUIRE(Known.size() == 16);
-  SECTION("it hears at once of one that leaves, and of its successor") {
+  SECTION("it is sent at once that one leaves, and its successor") {
     Test.remove(Known.begin()->first);
     Test.change();
     REQUIRE(Test.sendUpdate(at(0s)));
@@ -124,14 +125,14 @@
     REQUIRE(Test.m_Leaf.items().size() == 16);
     REQUIRE(Test.m_Leaf.revision() == Test.m_List.revision());
   }
-  SECTION("and of one that begins to leave") {
+  SECTION("and that one begins to drain") {
     const int First = std::stoi(Known.begin()->first.substr(10)) - 100;
     Test.put(First, "draining");
     Test.change();
     REQUIRE(Test.sendUpdate(at(0s)));
     REQUIRE(Test.m_Leaf.items().size() == 17);
   }
-  SECTION("of all else after a rest, all at one time") {
+  SECTION("and all other changes together after a pause") {
     for (int Number = 0; Number < LeafSubsetsTest::Engines; ++Number) {
       Test.put(Number, "ready");
       Test.change();
@@ -142,7 +143,7 @@
     REQUIRE_FALSE(Test.sendUpdate(at(1s)));
     REQUIRE(Test.m_Leaf.revision() == Test.m_List.revision());
   }
-  SECTION("a change elsewhere is a revision and nothing else") {
+  SECTION("and only the revision of a change outside its subset") {
     int Other = 0;
     while (Known.contains(LeafSubsetsTest::key(Other)))
       ++Other;
--- a/tests/gateway/ManagedEngineTest.cpp
+++ b/tests/gateway/ManagedEngineTest.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// An engine that has taken the order to load "m" from the store.
+/// An engine that has accepted the order to load "m" from the store of weights.
 ManagedEngine loading(double Slowness) {
   ManagedEngine Engine;
   Engine.m_Ledger.heard({}, at(0s));
@@ -20,19 +20,20 @@
 
 } // namespace
 
-TEST_CASE("Boxes are told when a load serves, by how slow the store is",
-          "[orders]") {
+TEST_CASE(
+    "The expected end of a load takes the slowness of the store into account",
+    "[orders]") {
   ManagedEngine Engine = loading(1.5);
   UpstreamInstance Entry;
   Entry.m_Id = "e";
   const EngineContents Contents = Engine.contents("e", at(1s));
   REQUIRE(Contents.m_Loading == "m");
   REQUIRE(Contents.m_ServesIn == 5s);
-  SECTION("it is told once") {
+  SECTION("it is published once") {
     REQUIRE(Engine.takeUpdate(Entry, at(1s)));
     REQUIRE_FALSE(Engine.takeUpdate(Entry, at(2s)));
   }
-  SECTION("it is overdue, and expected soon") {
+  SECTION("an overdue load is expected soon") {
     Engine.takeUpdate(Entry, at(5s));
     Engine.expectOverdue(at(5s));
     REQUIRE_FALSE(Engine.takeUpdate(Entry, at(5s)));
@@ -42,13 +43,13 @@
     REQUIRE(News->m_ServesIn > 0us);
     REQUIRE(News->m_ServesIn <= 1s);
   }
-  SECTION("it ends, and tells how slow the store was") {
+  SECTION("its end shows how slow the store was") {
     REQUIRE(Engine.recordLoadEnd(at(8s)) == 2.0);
     REQUIRE_FALSE(Engine.recordLoadEnd(at(9s)));
   }
 }
 
-TEST_CASE("Loads from the engine's own disk tell nothing of the store",
+TEST_CASE("Loads from the engine's own disk do not measure the store",
           "[orders]") {
   ManagedEngine Engine = loading(1);
   Engine.recordLoadStart(LoadSource::Disk, 1s, 3, at(0s));
@@ -56,7 +57,7 @@
   REQUIRE_FALSE(Engine.recordLoadEnd(at(2s)));
 }
 
-TEST_CASE("A copy that is kept stays for a replica's usual time from then on",
+TEST_CASE("A model that is kept stays for a replica's usual time from then on",
           "[orders][evacuation]") {
   ManagedEngine Engine;
   ResidencyReport Report;
@@ -72,26 +73,27 @@
   REQUIRE(Fresh(at(16s)).empty());
 }
 
-TEST_CASE("What the list tells of an engine is not told again", "[orders]") {
+TEST_CASE("Contents of an engine that the list shows are not published",
+          "[orders]") {
   ManagedEngine Engine;
   ResidencyReport Report;
   Report.m_Models = {{.m_Name = "m", .m_Adapters = {}}};
   Engine.m_Ledger.heard(Report, at(0s));
   UpstreamInstance Entry;
   Entry.m_Id = "e";
-  SECTION("at no time while they say the same") {
+  SECTION("while the list and the engine agree") {
     Entry.m_Models = Report.m_Models;
     REQUIRE_FALSE(Engine.differsFrom(Entry, at(0s)));
     for (const Duration Later : {0s, 4s, 8s})
       REQUIRE_FALSE(Engine.takeUpdate(Entry, at(Later)));
   }
-  SECTION("but what it does not tell, as boxes may have missed it") {
+  SECTION("but other contents are, repeatedly, as boxes may miss an update") {
     REQUIRE(Engine.differsFrom(Entry, at(0s)));
     REQUIRE(Engine.takeUpdate(Entry, at(0s)));
     REQUIRE_FALSE(Engine.takeUpdate(Entry, at(1s)));
     REQUIRE(Engine.takeUpdate(Entry, at(4s)));
   }
-  SECTION("and each change, though the list already tells it") {
+  SECTION("and so is each change, even if the list already shows it") {
     Entry.m_Models = Report.m_Models;
     REQUIRE_FALSE(Engine.takeUpdate(Entry, at(0s)));
     Report.m_Models.clear();
--- a/tests/gateway/OrderTest.cpp
+++ b/tests/gateway/OrderTest.cpp
@@ -12,7 +12,7 @@
 using Request = StandinRunner::Request;
 using ConnectionPtr = StandinRunner::ConnectionPtr;
 
-/// An engine that holds the model `m` and takes orders for its adapters.
+/// An engine that holds the model `m` and accepts orders for its adapters.
 class OrderedEngine {
 public:
   void serve(const Request &Of, const ConnectionPtr &To) {
@@ -29,7 +29,7 @@
                                            "X-Request-Not-Executed: 1\r\n"));
   }
 
-  /// It ends, and starts again under its name.
+  /// Simulates a restart under the same name with the start time \p Born.
   void startAgain(UpstreamBirth Born) {
     m_Born = Born;
     m_Orders.clear();
@@ -85,7 +85,7 @@
     return fetch(std::move(Call)).m_Status;
   }
 
-  /// Whether requests for \p Model run in the end.
+  /// Whether requests for \p Model are served within 200 tries.
   bool runs(const std::string &Model) {
     int Status = 0;
     for (int Number = 0; Status != 200 && Number < 200; ++Number)
@@ -98,7 +98,7 @@
 
 } // namespace
 
-TEST_CASE("An adapter that requests wait for is ordered, and then they run",
+TEST_CASE("An adapter that requests wait for is ordered, and they are served",
           "[gateway][orders]") {
   OrderTest Test;
   REQUIRE(Test.ask("m", "id-model") == 200);
@@ -115,7 +115,7 @@
   REQUIRE(Order.at("fencingToken").get<std::uint64_t>() > 0);
 }
 
-TEST_CASE("An engine that has started again under its name is ordered anew",
+TEST_CASE("An engine that has restarted under its name is sent orders anew",
           "[gateway][orders][lives]") {
   OrderTest Test;
   REQUIRE(Test.runs("m/a2"));
@@ -124,7 +124,7 @@
   Test.m_Engine.startAgain(Born);
   if (!ListLags)
     Test.listEngine("i-1", {"m"}, Born);
-  // Its own report tells of the start, or its entry does.
+  // Either the engine's report shows the restart first, or its entry does.
   Test.ask("m/a3", "id-first");
   if (ListLags)
     Test.listEngine("i-1", {"m"}, Born);
@@ -136,7 +136,7 @@
   }));
 }
 
-TEST_CASE("A model that nothing holds is refused with when to come back",
+TEST_CASE("A model that no engine holds is refused with a retry time",
           "[gateway][orders]") {
   OrderTest Test;
   HttpCall Call = Test.call("/llm/x", "id-1");
@@ -146,7 +146,7 @@
   REQUIRE_FALSE(findHeader(Answer.m_Headers, "Retry-After").empty());
 }
 
-TEST_CASE("However many engines there are, few are asked for reports at a time",
+TEST_CASE("Few engines are asked for reports at a time, however many there are",
           "[gateway][orders]") {
   constexpr std::size_t Engines = 300;
   constexpr std::size_t MostAtOnce = 64;
@@ -155,7 +155,7 @@
   Test.addRunner("i-0", [&](const Request &Of, const ConnectionPtr &To) {
     Waiting.emplace_back(Of, To);
   });
-  // All at one address: each is asked by its own call.
+  // All at one address: each engine gets its own call.
   for (std::size_t Number = 0; Number < Engines; ++Number) {
     const std::string Id = "i-" + std::to_string(Number);
     Json Entry = parseJson(Test.m_Store.value("servers/i-0"));
@@ -170,7 +170,7 @@
   REQUIRE(Test.until([&] { return Waiting.size() == MostAtOnce; }));
   Test.wait(300ms);
   REQUIRE(Waiting.size() == MostAtOnce);
-  // Each answer makes room for the next.
+  // Each answer lets the next call be made.
   std::size_t Answered = 0;
   REQUIRE(Test.until([&] {
     for (auto &[Of, To] : std::exchange(Waiting, {})) {
--- a/tests/gateway/ServerWordsFleet.h
+++ b/tests/gateway/ServerWordsFleet.h
@@ -43,13 +43,13 @@
 
   bool allBelieve(const InstanceId &Id, double PerS) const {
     return std::all_of(m_Boxes.begin(), m_Boxes.end(), [&](const auto &Box) {
-      const NamedLimit *Limit = Box->state().m_Words.limit(Id);
+      const NamedLimit *Limit = Box->state().m_Signals.limit(Id);
       return Limit != nullptr && Limit->m_PerS == PerS;
     });
   }
   bool noneBelieves(const InstanceId &Id) const {
     return std::none_of(m_Boxes.begin(), m_Boxes.end(), [&](const auto &Box) {
-      return Box->state().m_Words.limit(Id) != nullptr;
+      return Box->state().m_Signals.limit(Id) != nullptr;
     });
   }
 
--- a/tests/gateway/WatchCacheTest.cpp
+++ b/tests/gateway/WatchCacheTest.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Keeps reads unanswered until the test answers them.
+/// A store that keeps reads and watches open until the test answers them.
 class ManualStore : public CoordinationStore {
 public:
   void range(const std::string &, ReadKind Kind, ItemsDone Callback) override {
@@ -27,13 +27,14 @@
   void renewLease(LeaseId, Done) override {}
   void revokeLease(LeaseId, Done) override {}
 
-  /// Answers the watch that waits: nothing has changed up to \p At.
+  /// Answers the open watch: nothing has changed up to \p At.
   void endWatchUnchanged(StoreRevision At) {
     const ChangesDone Done = std::exchange(m_Watch, {});
     Done({.m_Status = StoreStatus::Ok, .m_Changes = {}, .m_At = At});
   }
 
-  std::vector<StoreRevision> m_WatchRevisions; ///< Of the watches.
+  /// Revisions after which the watches asked for changes.
+  std::vector<StoreRevision> m_WatchRevisions;
   ChangesDone m_Watch;
   std::vector<ReadKind> m_Kinds;
   std::vector<ItemsDone> m_Reads;
@@ -41,7 +42,7 @@
 
 } // namespace
 
-TEST_CASE("One read at a time, however often it is asked for",
+TEST_CASE("Only one read is in flight, however often one is requested",
           "[gateway][mirror]") {
   EventLoop Loop;
   ManualStore Store;
@@ -57,23 +58,23 @@
                          .m_At = 5});
   REQUIRE(Changes == 1);
   REQUIRE_FALSE(Cache.reading());
-  SECTION("the next one is made once that has been answered") {
+  SECTION("the next one is made once the first has been answered") {
     Cache.readOnce(ReadKind::Current);
     REQUIRE(Store.m_Kinds ==
             std::vector<ReadKind>{ReadKind::Stale, ReadKind::Current});
   }
-  SECTION("a read that brings the same is no news") {
+  SECTION("a read without changes is not reported as a change") {
     Cache.readOnce(ReadKind::Current);
     Store.m_Reads.back()({.m_Status = StoreStatus::Ok,
                           .m_Items = {{.m_Key = "p/a", .m_Value = "1"}},
                           .m_At = 9});
     REQUIRE(Changes == 1);
-    // But the copy is as new as that read: other boxes compare.
+    // But the copy is as new as that read: other boxes compare revisions.
     REQUIRE(Cache.revision() == 9);
   }
 }
 
-TEST_CASE("A read that is under way is not thrown away", "[gateway][mirror]") {
+TEST_CASE("A read in flight is not abandoned", "[gateway][mirror]") {
   EventLoop Loop;
   ManualStore Store;
   WatchCache Cache(Loop, Store, {.m_Prefix = "p"}, {.m_Changed = [] {}});
@@ -98,7 +99,7 @@
     REQUIRE(Cache.revision() == 5);
     REQUIRE(Store.m_WatchRevisions.empty());
   }
-  SECTION("when it is to be read anew") {
+  SECTION("when the cache is to be read anew") {
     Cache.start();
     Cache.resync();
     REQUIRE(Store.m_Reads.size() == 1);
@@ -107,7 +108,7 @@
   }
 }
 
-TEST_CASE("How each read ended is told", "[gateway][mirror]") {
+TEST_CASE("The outcome of each read is reported", "[gateway][mirror]") {
   EventLoop Loop;
   ManualStore Store;
   std::vector<WatchCache::ReadOutcome> Ends;
@@ -134,7 +135,7 @@
   REQUIRE(Ends.back().m_At == 5);
 }
 
-TEST_CASE("A change that a watch was not told of comes with the next ones",
+TEST_CASE("A change that a watch missed is delivered by the next ones",
           "[gateway][mirror]") {
   EventLoop Loop;
   ManualStore Store;
@@ -143,11 +144,11 @@
   Store.m_Reads.front()({.m_Status = StoreStatus::Ok,
                          .m_Items = {{.m_Key = "p/a", .m_Value = "1"}},
                          .m_At = 5});
-  // At 7 there was a change, and the watch ends without it.
+  // There was a change at 7, and the watch ends without it.
   Store.endWatchUnchanged(9);
   Store.endWatchUnchanged(12);
   REQUIRE(Store.m_WatchRevisions == std::vector<StoreRevision>{5, 5, 5});
-  SECTION("and what has been quiet for long is not asked for again") {
+  SECTION("and revisions without changes for long are not requested again") {
     Clock::skip(3s);
     Store.endWatchUnchanged(30);
     REQUIRE(Store.m_WatchRevisions.back() == 9);
@@ -157,7 +158,7 @@
   }
 }
 
-TEST_CASE("A part of a list is never taken for the whole, nor continued by it",
+TEST_CASE("Partial and whole lists are never taken for each other",
           "[gateway][mirror]") {
   EventLoop Loop;
   ManualStore Store;
@@ -172,13 +173,13 @@
   };
   REQUIRE(Cache.adopt(makeDelta(0, 5, true, "p/a")));
   REQUIRE(Cache.partial());
-  SECTION("changes of the other kind are missing what they change") {
+  SECTION("changes of the other kind are rejected") {
     REQUIRE_FALSE(Cache.adopt(makeDelta(5, 6, false, "p/b")));
     REQUIRE(Cache.items().size() == 1);
     REQUIRE(Cache.adopt(makeDelta(5, 6, true, "p/b")));
     REQUIRE(Cache.items().size() == 2);
   }
-  SECTION("and a change elsewhere only makes it newer") {
+  SECTION("a change outside the part only raises the revision") {
     int Changes = 0;
     WatchCache Other(Loop, Store, {.m_Prefix = "p"},
                      {.m_Changed = [&] { ++Changes; }});
@@ -187,17 +188,17 @@
     REQUIRE(Other.revision() == 6);
     REQUIRE(Changes == 1);
   }
-  SECTION("the whole one takes its place, also as of the same revision") {
+  SECTION("a whole list replaces it, even at the same revision") {
     REQUIRE(Cache.adopt(makeDelta(0, 5, false, "p/b")));
     REQUIRE_FALSE(Cache.partial());
     REQUIRE(Cache.items().contains("p/b"));
     REQUIRE(Cache.items().size() == 1);
   }
-  SECTION("but not an older one") {
+  SECTION("but an older one does not") {
     REQUIRE(Cache.adopt(makeDelta(0, 4, false, "p/b")));
     REQUIRE(Cache.partial());
   }
-  SECTION("and what is read from the store is whole") {
+  SECTION("and a list read from the store is whole") {
     Cache.readOnce(ReadKind::Current);
     Store.m_Reads.front()({.m_Status = StoreStatus::Ok,
                            .m_Items = {{.m_Key = "p/a", .m_Value = "1"}},
