--- a/packages/gateway/process/Fleet.cpp
+++ b/packages/gateway/process/Fleet.cpp
@@ -168,8 +168,8 @@
   link();
 }
 
-bool Fleet::setLeader(const BoxName &Holder) {
-  if (!m_Topology.holderIs(Holder))
+bool Fleet::setLeader(const BoxName &Leader) {
+  if (!m_Topology.holderIs(Leader))
     return false;
   link();
   return true;
--- a/packages/gateway/process/Fleet.h
+++ b/packages/gateway/process/Fleet.h
@@ -40,7 +40,7 @@
     /// answers: three tries within the lease. Each renewal costs a tenth of a
     /// call, and hundreds of boxes renew.
     Duration m_LargeRenewEvery = 2s;
-    RandomUnit m_Random;
+    RandomUnit m_Random; ///< Returns random numbers from 0 to 1.
   };
   struct Hooks {
     /// A frame has come from a linked box.
@@ -108,7 +108,7 @@
   /// Which boxes are relays, and which boxes to link to.
   const FleetTopology &topology() const { return m_Topology; }
   /// Sets the box that leads. \returns whether that changes the topology.
-  bool setLeader(const BoxName &Holder);
+  bool setLeader(const BoxName &Leader);
   /// This box and all boxes that are listed or linked.
   std::set<BoxName> processes() const;
   /// Number of known boxes, this one included.
--- a/packages/gateway/process/FleetExchange.cpp
+++ b/packages/gateway/process/FleetExchange.cpp
@@ -239,8 +239,8 @@
   receive(m_Deps.m_Fleet.self(), FleetMissingFrame{{Key}});
 }
 
-/// The leader, which reads for all, announces a configuration at once: a digest
-/// would be up to 250 ms later on boxes whose own watches are dead. Not in a
+/// The box that reads for all announces a configuration at once: a digest would
+/// be up to 250 ms later on boxes whose own watches are dead. It does not in a
 /// large fleet, whose relays make stale reads, which include the new version
 /// only after a while.
 void FleetExchange::configChanged() {
@@ -384,7 +384,8 @@
                                            : m_Uplink;
 }
 
-/// A box that cannot reach the store requests updates from a box that may.
+/// While the store is unreachable, requests updates from a random linked box,
+/// which the store may serve.
 void FleetExchange::requestFromPeers() {
   const std::set<BoxName> &Linked = m_Deps.m_Fleet.linked();
   if (storeReachable() || Linked.empty())
--- a/packages/gateway/process/LeaderElection.cpp
+++ b/packages/gateway/process/LeaderElection.cpp
@@ -19,9 +19,9 @@
 constexpr Duration ClaimSpreadPerVoter = 100ms;
 constexpr Duration ClaimDelay = 200ms;
 
-/// A leader may send orders while it knows its key as of this long ago. The
-/// handover between two leaders takes longer than that and the sending of an
-/// order together.
+/// A leader may send orders for this long after its key was last known to be
+/// its own by a read of the store. The handover to another leader takes longer
+/// than this and the sending of an order together.
 constexpr Duration MaxKeyAge = 1900ms;
 
 /// A process whose ticks are this far apart was suspended.
@@ -98,8 +98,8 @@
     return false;
   }
   // The machine that led last may continue at once.
-  const bool Own = m_TermMachine == m_Opts.m_Machine;
-  if (!m_ClaimFrom && Own)
+  const bool SameMachine = m_TermMachine == m_Opts.m_Machine;
+  if (!m_ClaimFrom && SameMachine)
     m_ClaimFrom = Now;
   const Duration Within =
       std::max<Duration>(MinClaimSpread, ClaimSpreadPerVoter * m_Voters);
--- a/packages/gateway/process/LeaderElection.h
+++ b/packages/gateway/process/LeaderElection.h
@@ -101,9 +101,12 @@
   bool m_Eligible = true;
   std::ptrdiff_t m_Voters = 0;     ///< Number of other boxes that may claim.
   StoreRevision m_KeyRevision = 0; ///< 0 when nobody holds the key.
+  /// Revision of the key that names the last leader's machine; 0 when there
+  /// never was a leader.
   StoreRevision m_TermRevision = 0;
-  std::string m_TermMachine;
+  std::string m_TermMachine; ///< Machine of the last leader.
   TimePoint m_TickedAt{};
+  /// When this box claims the key; none while it may not.
   std::optional<TimePoint> m_ClaimFrom;
   bool m_Leading = false;
   FencingToken m_Token = 0;
--- a/packages/gateway/process/ListFollower.cpp
+++ b/packages/gateway/process/ListFollower.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-/// A relay reads the store itself when its copy is older than this; by rank, so
-/// that they read one after the other, and leaves last, as a digest of the
-/// first that succeeds spares the others their calls. In normal operation the
-/// oldest age that a relay sees is 1.2 s: a watch waits 0.9 s, and a digest
+/// A relay reads the store itself when its copy is older than the age of its
+/// rank, so that relays begin one after the other, and leaves last: a digest of
+/// the first that succeeds spares the others their calls. In normal operation
+/// the oldest age that a relay sees is 1.2 s: a watch waits 0.9 s, and a digest
 /// takes 0.25 s. All ages lie below the 2 s for which platforms let a draining
 /// upstream get work.
 constexpr std::array<Duration, 3> RelayMaxListAges{1400ms, 1600ms, 1750ms};
--- a/packages/gateway/process/OrderLeader.cpp
+++ b/packages/gateway/process/OrderLeader.cpp
@@ -53,7 +53,7 @@
 /// A leader that is replaced learns of it within this time.
 constexpr Duration DeposedNoticeDelay = 700ms;
 
-/// A report may show an engine's state as of this long ago.
+/// A report may be out of date by up to this.
 constexpr Duration MaxReportLag = 300ms;
 
 /// An order that an engine accepted before it left the list may start within
@@ -123,7 +123,7 @@
   m_ClaimedAt = Now;
   m_Ceiling = LoadCeiling();
   m_DemandSeeded = false;
-  // The leader before learns only with a delay that it was replaced.
+  // The former leader learns only with a delay that it was replaced.
   const TimePoint LastOrder = SameMachine ? Now : Now + DeposedNoticeDelay;
   m_PredecessorOrdersUntil = Before.m_None ? Now : LastOrder + MaxReportLag;
   if (!Before.m_None)
@@ -200,8 +200,8 @@
   tickSoon(true);
 }
 
-/// Models that were loaded elsewhere during an evacuation stay there for the
-/// usual time of a replica from now: the engines that return may be cold.
+/// Keeps models that were loaded elsewhere during an evacuation, for the usual
+/// time of a replica from now: the engines that return may be cold.
 void OrderLeader::keepCopiesAfterReturn(TimePoint Now) {
   const ServingView &View = m_State.m_Upstreams;
   const auto Returned = [&](const InstanceId &Id) {
@@ -428,7 +428,7 @@
   const ResidencyOrder Load{
       .m_Load = true, .m_Model = Move.m_Load, .m_Adapter = {}};
   if (!Engine.m_Ledger.allows(Load, Spec)) {
-    // The engine holds something else than the plan assumed.
+    // The engine holds something other than the plan assumed.
     if (!Engine.m_Ledger.needsReport())
       Engine.m_Task.reset();
     return;
@@ -592,10 +592,10 @@
           Now);
 }
 
-/// Counts the loads of the former leader. A load from the store that takes
-/// longer than the window of their bound is still in progress at the window's
-/// end: once all engines have reported, the loads in progress are all of the
-/// former leader's that count.
+/// Determines how many loads of the former leader count against the bound on
+/// loads. A load from the store that takes longer than the bound's window is
+/// still in progress at the window's end, so once all engines have reported,
+/// only the loads in progress count.
 void OrderLeader::countPredecessorLoads(TimePoint Now) {
   if (!m_Ceiling.takenOver())
     return;
@@ -745,8 +745,8 @@
   return Frame;
 }
 
-/// Returns the entry of an engine in the list; engines that are not listed are
-/// not kept.
+/// Returns the list's entry of an engine, which always exists: engines that are
+/// not listed are not kept.
 const UpstreamInstance &OrderLeader::entryOf(const InstanceId &Id) const {
   return m_State.m_Upstreams.list().m_Instances.at(Id);
 }
--- a/packages/gateway/process/OrderLeader.h
+++ b/packages/gateway/process/OrderLeader.h
@@ -35,7 +35,7 @@
     LeaderElection::Options m_Election;
     ServingBounds m_Bounds;
     PlannerOptions m_Planner;
-    /// How long a replica stays at least, and an adapter.
+    /// Shortest time that a replica stays, and an adapter.
     Duration m_MinReplicaStay = 6s;
     Duration m_MinAdapterStay = 400ms;
     AdapterOptions m_Adapters;
@@ -96,8 +96,8 @@
   void resign();
 
 private:
-  /// A model or adapter that requests wait for: since when, and until when at
-  /// the latest.
+  /// A model or adapter that requests wait for: when it was first and last
+  /// requested.
   struct MissingKey {
     TimePoint m_Since{};
     TimePoint m_Last{};
@@ -164,7 +164,7 @@
   bool m_Resigned = false;
   /// Whether usual demand was derived from the replicas.
   bool m_DemandSeeded = false;
-  TimePoint m_EarliestOrder{};
+  TimePoint m_EarliestOrder{}; ///< No order is sent earlier.
   TimePoint m_NextPlan{};
   TimePoint m_EarliestPlan{}; ///< No whole plan before, whatever waits.
   /// The same for the plan of awaited adapters.
--- a/packages/gateway/process/WatchCache.cpp
+++ b/packages/gateway/process/WatchCache.cpp
@@ -194,8 +194,8 @@
     return true;
   if (Update.m_Since > m_Revision || (Update.m_Since > 0 && KindDiffers))
     return false;
-  // No key that this copy holds has changed; with a long list these are most
-  // updates that a leaf receives.
+  // No key that this copy holds has changed; most updates of a long list that a
+  // leaf receives are of this kind.
   if (Update.m_Since > 0 && Update.m_Items.empty() && Update.m_Gone.empty()) {
     m_Revision = Update.m_Revision;
     return true;
--- a/tests/gateway/ConfigurationTest.cpp
+++ b/tests/gateway/ConfigurationTest.cpp
@@ -1,20 +1,19 @@
 /// \file
 /// How boxes learn of configurations while their connections are broken.
 ///
-/// In a fleet of seven boxes, a version that the store had confirmed was not in
-/// force in time: requests on a route that it added were refused as unknown,
-/// and others were treated by the version before.
+/// These tests guard against a version that the store has confirmed not coming
+/// into force in time, so that requests on a route that it adds are refused as
+/// unknown and others are treated by the version before.
 ///
-/// Open connections had stopped delivering data without a reset, while new ones
-/// worked. A box's watch of the configuration waited on such a connection for
-/// up to 20 s, and so did the links between boxes, or the watches of all boxes,
-/// so that no box knew of the new version and could report it.
-///
-/// Each box relied on others to report what its own watch missed, and none of
-/// them was sure to have asked the store. In a soak of eight boxes whose
-/// watches were silenced at one moment, all served by the version before for 9
-/// s, although other calls to the store were answered all the time. A box that
-/// had a version reported did not request it while still newer versions came.
+/// Open connections stop delivering data without a reset, while new ones work.
+/// A box's watch of the configuration waits on such a connection for up to 20
+/// s. When the links between boxes are silent too, or the watches of all boxes
+/// are, no box knows of the new version and can report it: each box relies on
+/// others to report what its own watch misses, and none is sure to have asked
+/// the store. Eight boxes whose watches were silenced at one moment all served
+/// by the version before for 9 s, although other calls to the store were
+/// answered all the time. A box that had a version reported did not request it
+/// while still newer versions came.
 #include "gateway/GatewayTest.h"
 #include "platform/StoreClient.h"
 #include "standin/LoopbackProxy.h"
--- a/tests/gateway/FleetTest.cpp
+++ b/tests/gateway/FleetTest.cpp
@@ -11,8 +11,8 @@
 class FleetTest : public GatewayTest {
 public:
   FleetTest() {
-    addRunner("i-1", [](const Request &Of, const ConnectionPtr &To) {
-      To->write(StandinRunner::answer(Of, 200, "body"));
+    addRunner("i-1", [](const Request &Received, const ConnectionPtr &To) {
+      To->write(StandinRunner::answer(Received, 200, "body"));
     });
     configure(1);
     startGateway();
--- a/tests/gateway/LargeFleetTest.cpp
+++ b/tests/gateway/LargeFleetTest.cpp
@@ -24,8 +24,8 @@
   explicit LargeFleetTest(int Engines = 0) {
     for (int Number = 0; Number < Engines; ++Number)
       listSilentEngine(Number);
-    addRunner("i-1", [](const Request &Of, const ConnectionPtr &To) {
-      To->write(StandinRunner::answer(Of, 200, "body"));
+    addRunner("i-1", [](const Request &Received, const ConnectionPtr &To) {
+      To->write(StandinRunner::answer(Received, 200, "body"));
     });
     configure(1);
     for (std::size_t Number = 0; Number < Boxes; ++Number)
--- a/tests/gateway/ManagedEngineTest.cpp
+++ b/tests/gateway/ManagedEngineTest.cpp
@@ -38,10 +38,10 @@
     Engine.expectOverdue(at(5s));
     REQUIRE_FALSE(Engine.takeUpdate(Entry, at(5s)));
     Engine.expectOverdue(at(6s));
-    const auto News = Engine.takeUpdate(Entry, at(6s));
-    REQUIRE(News);
-    REQUIRE(News->m_ServesIn > 0us);
-    REQUIRE(News->m_ServesIn <= 1s);
+    const auto Update = Engine.takeUpdate(Entry, at(6s));
+    REQUIRE(Update);
+    REQUIRE(Update->m_ServesIn > 0us);
+    REQUIRE(Update->m_ServesIn <= 1s);
   }
   SECTION("its end shows how slow the store was") {
     REQUIRE(Engine.recordLoadEnd(at(8s)) == 2.0);
--- a/tests/gateway/OrderTest.cpp
+++ b/tests/gateway/OrderTest.cpp
@@ -15,17 +15,18 @@
 /// An engine that holds the model `m` and accepts orders for its adapters.
 class OrderedEngine {
 public:
-  void serve(const Request &Of, const ConnectionPtr &To) {
-    if (Of.m_Target == "/v1/report")
-      return To->write(StandinRunner::answer(Of, 200, dumpJson(report())));
-    if (Of.m_Target == "/v1/order")
-      return order(Of, To);
-    const std::string Model = Of.header("x-model-name");
+  void serve(const Request &Received, const ConnectionPtr &To) {
+    if (Received.m_Target == "/v1/report")
+      return To->write(
+          StandinRunner::answer(Received, 200, dumpJson(report())));
+    if (Received.m_Target == "/v1/order")
+      return order(Received, To);
+    const std::string Model = Received.header("x-model-name");
     const std::size_t Slash = Model.find('/');
     const bool Held = Slash == std::string::npos ||
                       m_Adapters.contains(Model.substr(Slash + 1));
-    To->write(Held ? StandinRunner::answer(Of, 200, "run")
-                   : StandinRunner::answer(Of, 421, "",
+    To->write(Held ? StandinRunner::answer(Received, 200, "run")
+                   : StandinRunner::answer(Received, 421, "",
                                            "X-Request-Not-Executed: 1\r\n"));
   }
 
@@ -47,13 +48,13 @@
              Json::array({{{"name", "m"}, {"adapterList", m_Adapters}}})}};
   }
 
-  void order(const Request &Of, const ConnectionPtr &To) {
-    const Json Order = parseJson(Of.m_Body);
+  void order(const Request &Received, const ConnectionPtr &To) {
+    const Json Order = parseJson(Received.m_Body);
     if (Order.at("expectedCount") != m_Orders.size())
-      return To->write(StandinRunner::answer(Of, 409, ""));
+      return To->write(StandinRunner::answer(Received, 409, ""));
     m_Orders.push_back(Order);
     m_Adapters.insert(Order.at("adapterName").get<std::string>());
-    To->write(StandinRunner::answer(Of, 202, ""));
+    To->write(StandinRunner::answer(Received, 202, ""));
   }
 
   UpstreamBirth m_Born = 100;
@@ -63,8 +64,8 @@
 class OrderTest : public GatewayTest {
 public:
   OrderTest() {
-    addRunner("i-1", [this](const Request &Of, const ConnectionPtr &To) {
-      m_Engine.serve(Of, To);
+    addRunner("i-1", [this](const Request &Received, const ConnectionPtr &To) {
+      m_Engine.serve(Received, To);
     });
     listEngine("i-1", {"m"}, 100);
     configureEngines(route("llm", "unsafe"),
@@ -152,8 +153,8 @@
   constexpr std::size_t MostAtOnce = 64;
   GatewayTest Test;
   std::vector<std::pair<Request, ConnectionPtr>> Waiting;
-  Test.addRunner("i-0", [&](const Request &Of, const ConnectionPtr &To) {
-    Waiting.emplace_back(Of, To);
+  Test.addRunner("i-0", [&](const Request &Received, const ConnectionPtr &To) {
+    Waiting.emplace_back(Received, To);
   });
   // All at one address: each engine gets its own call.
   for (std::size_t Number = 0; Number < Engines; ++Number) {
@@ -173,9 +174,9 @@
   // Each answer lets the next call be made.
   std::size_t Answered = 0;
   REQUIRE(Test.until([&] {
-    for (auto &[Of, To] : std::exchange(Waiting, {})) {
+    for (auto &[Received, To] : std::exchange(Waiting, {})) {
       To->write(
-          StandinRunner::answer(Of, 200,
+          StandinRunner::answer(Received, 200,
                                 dumpJson({{"sequenceNumber", 0},
                                           {"born", 0},
                                           {"utilization", false},
