--- /dev/null
+++ b/packages/gateway/process/ComponentOptions.h
@@ -0,0 +1,27 @@
+/// \file
+/// Derives the options of a gateway's components from its settings and policy.
+#ifndef HAVENSTAIR_GATEWAY_PROCESS_COMPONENTOPTIONS_H
+#define HAVENSTAIR_GATEWAY_PROCESS_COMPONENTOPTIONS_H
+
+#include "gateway/process/Fleet.h"
+#include "gateway/process/GatewayOptions.h"
+#include "gateway/process/GatewayPolicy.h"
+#include "gateway/process/OrderLeader.h"
+#include "gateway/process/PlatformBinding.h"
+#include "gateway/request/Forwarder.h"
+
+namespace havenstair {
+
+/// \p Process is the name of this process of the box.
+Fleet::Options fleetOptions(const GatewayOptions &Settings,
+                            const PlatformBinding &Binding,
+                            const BoxName &Process, RandomUnit Random);
+OrderLeader::Options leaderOptions(const GatewayOptions &Settings,
+                                   const PlatformBinding &Binding,
+                                   const GatewayPolicy &Policy,
+                                   const BoxName &Process);
+Forwarder::Options forwarderOptions(const GatewayPolicy &Policy);
+
+} // namespace havenstair
+
+#endif
--- a/packages/gateway/process/Gateway.cpp
+++ b/packages/gateway/process/Gateway.cpp
@@ -1,7 +1,7 @@
 #include "gateway/process/Gateway.h"
 
-#include "gateway/process/ObservedEngines.h"
-#include "gateway/process/PartOptions.h"
+#include "gateway/process/ComponentOptions.h"
+#include "gateway/process/ObservedEngineControl.h"
 #include "gateway/request/UpstreamCall.h"
 #include "wire/common/Build.h"
 #include "wire/common/Crypto.h"
@@ -13,43 +13,47 @@
 
 namespace {
 
-/// Changes of upstreams that come together cost one call to the store.
-constexpr Duration GatherUpstreams = 200ms;
+/// Changes of upstreams that come close together cost one call to the store.
+constexpr Duration UpstreamCoalesceDelay = 200ms;
 
-/// The same for boxes; they start together.
-constexpr Duration GatherBoxes = 300ms;
+/// The same for boxes, which start together.
+constexpr Duration BoxCoalesceDelay = 300ms;
 /// In a large fleet boxes come and go all the time, and relays that learn of
 /// them a second later lose nothing.
-constexpr Duration GatherBoxesInLarge = 1s;
-/// A box that starts needs to find its relays: all may have started with it.
-constexpr Duration StartsWithin = 5s;
-
-/// How long a watch may wait before it is asked again. A watch whose connection
-/// was lost on the way says nothing until then: the list of upstreams must not
-/// be older than the time in which a leaving one may still get work. The other
-/// boxes tell of a newer configuration, and new boxes make themselves known.
-constexpr Duration WaitForConfig = 20s;
-constexpr Duration WaitForBoxes = 10s;
-
-/// How often the settings are read without a signal.
-constexpr Duration ReloadEvery = 2s;
-
-/// The balancer needs two questions, a second apart, to see that a box stops.
-constexpr Duration LeastStop = 3s;
-
-/// What is left of the grace period when the process ends by itself.
+constexpr Duration LargeFleetBoxCoalesceDelay = 1s;
+/// How long a box counts as starting. It needs to find its relays soon, and all
+/// boxes may have started with it.
+constexpr Duration StartupWindow = 5s;
+
+/// How long a watch may wait before it is renewed. A watch whose connection was
+/// lost reports nothing until then. These waits may be long because the other
+/// boxes report newer configurations, and new boxes announce themselves. The
+/// list of upstreams is watched with a short wait: it must not be older than
+/// the time in which a draining upstream may still get work.
+constexpr Duration ConfigWatchWait = 20s;
+constexpr Duration BoxWatchWait = 10s;
+
+/// How often the settings are reloaded without a signal.
+constexpr Duration ReloadInterval = 2s;
+
+/// The load balancer needs two health checks, a second apart, to see that a box
+/// stops.
+constexpr Duration MinStopTime = 3s;
+
+/// Time before the end of the grace period at which the process ends by itself.
 constexpr Duration GraceMargin = 600ms;
-constexpr Duration StopCheckEvery = 100ms;
-constexpr Duration FlushFor = 400ms;
+constexpr Duration StopCheckInterval = 100ms;
+constexpr Duration FlushTime = 400ms;
 
-/// Callers' connections may rest longer than the callers themselves use them.
+/// Added to the idle timeout of callers, so that they close idle connections
+/// first.
 constexpr Duration IdleMargin = 10s;
 
-/// Upstreams named in one log line.
-constexpr std::size_t MostLogged = 16;
+/// Most upstreams that one log line names.
+constexpr std::size_t MaxLoggedNames = 16;
 
-/// Tells one start of a box from another.
-constexpr std::size_t NameBytes = 3;
+/// Size of the random suffix that tells the processes of a box apart.
+constexpr std::size_t ProcessSuffixBytes = 3;
 
 constexpr const char *MetricsPath = "/metrics";
 
@@ -69,7 +73,7 @@
       m_StoreCalls(Loop, m_Log,
                    [this] {
                      return StoreCallLog::Role{m_Fleet.topology().relay(),
-                                               m_Giver.giving()};
+                                               m_Leader.leading()};
                    }),
       m_Random(std::random_device()()), m_UpstreamHttp(Loop), m_StoreHttp(Loop),
       m_Store(std::make_unique<MeteredStore>(
@@ -82,18 +86,18 @@
                   },
               .m_Reached =
                   [this] { m_Fleet.noteStoreReached(EventLoop::now()); }})),
-      m_Engines(std::make_unique<ObservedEngines>(
+      m_Engines(std::make_unique<ObservedEngineControl>(
           m_Binding.m_MakeEngines(m_UpstreamHttp),
-          [this](const auto &Of, const auto &Report, TimePoint AskedAt) {
-            m_Permits->reportCold(Of.m_Id, Report.m_ColdFor, AskedAt);
+          [this](const auto &Engine, const auto &Report, TimePoint AskedAt) {
+            m_Permits->reportCold(Engine.m_Id, Report.m_ColdFor, AskedAt);
             if (Report.m_Leaving)
-              m_Words->recordLeaving(Of.incarnation());
+              m_Signals->recordLeaving(Engine.incarnation());
           })),
       m_Forwarder(
           Loop, m_UpstreamHttp, m_State, m_Binding.m_Dialect, m_Log,
           forwarderOptions(m_Policy),
           {.m_Missing =
-               [this](const ModelKey &Key) { m_Exchange.missing(Key); },
+               [this](const ModelKey &Key) { m_Exchange.reportMissing(Key); },
            .m_Ended =
                [this](const RequestResult &Result) {
                  m_Metrics.recordRequest(Result);
@@ -107,54 +111,57 @@
            .m_MayTrustKeys = [this] { return mayTrustKeys(); },
            .m_ConfigFreshness =
                [this](TimePoint Now) {
-                 return m_Exchange.lists().configVouch(Now);
+                 return m_Exchange.lists().configFreshness(Now);
                },
            .m_Random = [this] { return drawUnit(m_Random); }}),
       m_Registry(m_Binding.m_DecodeUpstream, m_Log),
-      m_ConfigMirror(
+      m_ConfigCache(
           Loop, *m_Store,
-          mirrorOptions(m_Binding.m_ConfigPrefix, 0us, WaitForConfig),
+          cacheOptions(m_Binding.m_ConfigPrefix, 0us, ConfigWatchWait),
           {.m_Changed = [this] { configChanged(); },
            .m_ReadEnded = [this](const auto &End) { logConfigRead(End); }}),
-      m_UpstreamMirror(Loop, *m_Store,
-                       mirrorOptions(m_Binding.m_UpstreamPrefix,
-                                     GatherUpstreams, PrefixMirror::CloseWait),
-                       {.m_Changed = [this] { upstreamsChanged(); }}),
-      m_OwnMirror(Loop, *m_Store,
-                  mirrorOptions(m_Binding.m_OwnPrefix, GatherBoxes,
-                                WaitForBoxes, ReadKind::Stale),
-                  {.m_Changed = [this] { ownKeysChanged(); }}),
-      m_EvacuationMirror(Loop, *m_Store,
-                         mirrorOptions(m_Binding.m_EvacuationPrefix, 0us,
-                                       PrefixMirror::CloseWait),
-                         {.m_Changed = [this] { evacuationsChanged(); }}),
-      m_Process(m_Options.m_Box.str() + "." + randomHex(NameBytes)),
+      m_UpstreamCache(Loop, *m_Store,
+                      cacheOptions(m_Binding.m_UpstreamPrefix,
+                                   UpstreamCoalesceDelay,
+                                   WatchCache::ShortWait),
+                      {.m_Changed = [this] { upstreamsChanged(); }}),
+      m_OwnKeysCache(Loop, *m_Store,
+                     cacheOptions(m_Binding.m_OwnPrefix, BoxCoalesceDelay,
+                                  BoxWatchWait, ReadKind::Stale),
+                     {.m_Changed = [this] { ownKeysChanged(); }}),
+      m_EvacuationCache(Loop, *m_Store,
+                        cacheOptions(m_Binding.m_EvacuationPrefix, 0us,
+                                     WatchCache::ShortWait),
+                        {.m_Changed = [this] { evacuationsChanged(); }}),
+      m_ProcessName(m_Options.m_Box.str() + "." +
+                    randomHex(ProcessSuffixBytes)),
       m_Fleet(Loop, *m_Store, m_Log,
-              fleetOptions(m_Options, m_Binding, m_Process,
+              fleetOptions(m_Options, m_Binding, m_ProcessName,
                            [this] { return drawUnit(m_Random); }),
               fleetHooks()),
-      m_Giver(Loop, *m_Store, *m_Engines, m_State, m_Log,
-              giverOptions(m_Options, m_Binding, m_Policy, m_Process),
-              {.m_Contents =
-                   [this](const FleetContentsFrame &Frame) {
-                     m_Exchange.tellContents(Frame);
-                   },
-               .m_Ordered =
-                   [this](std::string_view Operation, std::string_view Answer) {
-                     m_Metrics.recordOrder(Operation, Answer);
-                   },
-               .m_HolderRead = [this] { return m_OwnMirror.confirmedAt(); },
-               .m_Random = [this] { return drawUnit(m_Random); }}),
+      m_Leader(
+          Loop, *m_Store, *m_Engines, m_State, m_Log,
+          leaderOptions(m_Options, m_Binding, m_Policy, m_ProcessName),
+          {.m_ContentsChanged =
+               [this](const FleetContentsFrame &Frame) {
+                 m_Exchange.publishContents(Frame);
+               },
+           .m_OrderAnswered =
+               [this](std::string_view Operation, std::string_view Answer) {
+                 m_Metrics.recordOrder(Operation, Answer);
+               },
+           .m_KeysReadAt = [this] { return m_OwnKeysCache.confirmedAt(); },
+           .m_Random = [this] { return drawUnit(m_Random); }}),
       m_Exchange(
           Loop,
           {.m_Fleet = m_Fleet,
-           .m_Giver = m_Giver,
+           .m_Leader = m_Leader,
            .m_State = m_State,
-           .m_Config = m_ConfigMirror,
-           .m_Upstreams = m_UpstreamMirror,
+           .m_Config = m_ConfigCache,
+           .m_Upstreams = m_UpstreamCache,
            .m_Registry = m_Registry,
-           .m_Boxes = m_OwnMirror,
-           .m_Evacuations = m_EvacuationMirror,
+           .m_Boxes = m_OwnKeysCache,
+           .m_Evacuations = m_EvacuationCache,
            .m_Log = m_Log},
           {.m_Lists = {.m_DrainTimeout = m_Options.m_Bounds.m_DrainTimeout,
                        .m_FirstStart = m_Options.m_FirstStart},
@@ -165,11 +172,11 @@
       m_Quotas(std::make_shared<QuotaExchange>(
           Loop, m_Fleet, m_Log, m_Options.m_Bounds.quotaTolerance(),
           QuotaExchange::Hooks{
-              .m_LeafCount = [this] { return m_Exchange.leaves(); }})),
+              .m_LeafCount = [this] { return m_Exchange.leafCount(); }})),
       m_Permits(std::make_shared<PermitExchange>(
           Loop, m_Fleet,
           PermitExchange::Views{.m_WarmUp = m_State.m_WarmUp,
-                                .m_Signals = m_State.m_Words,
+                                .m_Signals = m_State.m_Signals,
                                 .m_Bounds = m_State.m_SendBounds},
           m_Log, m_Options.m_Bounds.m_WarmUp,
           PermitExchange::Hooks{
@@ -179,24 +186,24 @@
                   },
               .m_UnknownBound =
                   [this](const BoxName &Box, const InstanceId &Server) {
-                    m_Words->sendNoLimit(Box,
-                                         m_State.m_WarmUp.incarnation(Server));
+                    m_Signals->sendNoLimit(
+                        Box, m_State.m_WarmUp.incarnation(Server));
                   }})),
       m_Crashes(std::make_shared<CrashExchange>(
           Loop, m_UpstreamHttp, *m_Store, m_Fleet, m_State.m_Upstreams,
           m_State.m_Crashes, m_Log, m_Binding.m_OwnPrefix, crashHooks())),
-      m_Words(std::make_shared<UpstreamSignalExchange>(
-          Loop, m_Fleet, m_State.m_Upstreams, m_State.m_Words, m_Log,
+      m_Signals(std::make_shared<UpstreamSignalExchange>(
+          Loop, m_Fleet, m_State.m_Upstreams, m_State.m_Signals, m_Log,
           UpstreamSignalExchange::Hooks{
               .m_LimitsChanged = [this] { m_Permits->refreshRole(); },
-              .m_UpstreamLeaving = [this] { serverLeaves(); }})) {
-  m_Forwarder.setServices(m_Quotas, m_Permits, m_Crashes, m_Words);
-  m_State.standsIn(m_Options.m_DataCentre, m_Options.m_Regions);
+              .m_UpstreamLeaving = [this] { onUpstreamDraining(); }})) {
+  m_Forwarder.setServices(m_Quotas, m_Permits, m_Crashes, m_Signals);
+  m_State.setLocation(m_Options.m_DataCentre, m_Options.m_Regions);
   applyBounds();
   startServers();
-  m_OwnMirror.start();
-  m_ReloadTimer = Loop.every(ReloadEvery, [this] { reload(); });
-  m_Log.write("started", {{"box", m_Process.str()},
+  m_OwnKeysCache.start();
+  m_ReloadTimer = Loop.every(ReloadInterval, [this] { reload(); });
+  m_Log.write("started", {{"box", m_ProcessName.str()},
                           {"build", buildName()},
                           {"protocol", OwnProtocol},
                           {"zone", m_State.m_Zone},
@@ -206,12 +213,12 @@
 
 Gateway::~Gateway() = default;
 
-PrefixMirror::Options Gateway::mirrorOptions(const std::string &Prefix,
-                                             Duration Gather, Duration Wait,
-                                             ReadKind FirstRead) {
+WatchCache::Options Gateway::cacheOptions(const std::string &Prefix,
+                                          Duration CoalesceDelay, Duration Wait,
+                                          ReadKind FirstRead) {
   return {.m_Prefix = Prefix,
           .m_Wait = Wait,
-          .m_Gather = Gather,
+          .m_CoalesceDelay = CoalesceDelay,
           .m_FirstRead = FirstRead,
           .m_Retry = {.m_First = 100ms, .m_Cap = 1s, .m_Random = [this] {
                         return drawUnit(m_Random);
@@ -225,14 +232,14 @@
                 m_Quotas->onFrame(From, Frame);
                 m_Permits->onFrame(From, Frame);
                 m_Crashes->onFrame(From, Frame);
-                m_Words->onFrame(From, Frame);
+                m_Signals->onFrame(From, Frame);
               },
           .m_Up =
               [this](const BoxName &Box) {
                 m_Exchange.linkUp(Box);
                 m_Permits->refreshRole();
                 m_Crashes->linkUp(Box);
-                m_Words->linkUp(Box);
+                m_Signals->linkUp(Box);
               },
           .m_Down =
               [this](const BoxName &Box) {
@@ -251,8 +258,8 @@
                                Forwarder::Options{}.m_ConnectTimeout);
                          },
                      .m_ReadAnswer = m_Binding.m_Dialect.m_ReadAnswer,
-                     // It may have started again and be cold, and this word
-                     // comes before the list's.
+                     // The upstream may have restarted and be cold; its answer
+                     // arrives before the updated list.
                      .m_NotEnded =
                          [this](const UpstreamIncarnation &Server,
                                 const AnswerFacts &Answer, TimePoint AskedAt) {
@@ -260,33 +267,35 @@
                              m_Permits->reportCold(Server.m_Id,
                                                    *Answer.m_ColdFor, AskedAt);
                            if (Answer.m_Leaving)
-                             m_Words->recordLeaving(Server);
+                             m_Signals->recordLeaving(Server);
                          }},
       .m_Changed = [this] { m_Forwarder.crashesChanged(); },
       .m_ProbeEnded = [this](auto What) { m_Metrics.recordProbe(What); },
-      .m_IsWriter = [this] { return m_Giver.giving(); }};
+      .m_IsWriter = [this] { return m_Leader.leading(); }};
 }
 
 void Gateway::ownKeysChanged() {
-  m_Fleet.entriesChanged(m_OwnMirror.items());
-  m_Giver.entriesChanged(m_OwnMirror.items());
+  m_Fleet.entriesChanged(m_OwnKeysCache.items());
+  m_Leader.entriesChanged(m_OwnKeysCache.items());
   m_Exchange.boxesChanged();
   m_Quotas->boxesChanged();
-  m_Crashes->entriesChanged(m_OwnMirror.items());
+  m_Crashes->entriesChanged(m_OwnKeysCache.items());
   m_Permits->refreshRole();
-  const bool Starting = EventLoop::now() - m_StartedAt < StartsWithin;
-  m_OwnMirror.setGather(
-      m_Fleet.topology().flat() || Starting ? GatherBoxes : GatherBoxesInLarge);
+  const bool Starting = EventLoop::now() - m_StartedAt < StartupWindow;
+  m_OwnKeysCache.setCoalesceDelay(m_Fleet.topology().flat() || Starting
+                                      ? BoxCoalesceDelay
+                                      : LargeFleetBoxCoalesceDelay);
   m_State.m_Boxes = std::max(m_State.m_Boxes, static_cast<int>(m_Fleet.size()));
 }
 
-/// A connection to the store may be dead without saying so.
+/// Reads everything anew over a new connection: the old one may be dead without
+/// an error.
 void Gateway::resync() {
   m_StoreHttp.forget(m_Options.m_Store);
-  m_ConfigMirror.resync();
-  m_UpstreamMirror.resync();
-  m_OwnMirror.resync();
-  m_EvacuationMirror.resync();
+  m_ConfigCache.resync();
+  m_UpstreamCache.resync();
+  m_OwnKeysCache.resync();
+  m_EvacuationCache.resync();
 }
 
 void Gateway::startServers() {
@@ -308,7 +317,8 @@
       [this](const HttpExchangePtr &Exchange) { answerMetrics(Exchange); });
 }
 
-/// A request that comes late in a stop may not end before the process does.
+/// Refuses requests that come late in a stop, as they may not end before the
+/// process does.
 void Gateway::takeRequest(const HttpExchangePtr &Exchange) {
   if (m_State.m_Stopping && EventLoop::now() >= m_LeaveAt)
     return m_Forwarder.refuse(Exchange,
@@ -326,7 +336,7 @@
   Now.m_ConfigVersion = Number(m_State.configVersion());
   const ListFollower &Lists = m_Exchange.lists();
   Now.m_ConfigAnnounced = Number(Lists.config().newest().m_Version);
-  Now.m_ConfigAge = inSeconds(Lists.configVouch(EventLoop::now()).m_Age);
+  Now.m_ConfigAge = inSeconds(Lists.configFreshness(EventLoop::now()).m_Age);
   Now.m_ConfigBehind = inSeconds(Lists.config().behind(EventLoop::now()));
   Now.m_ListRevision = Number(m_State.m_Upstreams.list().m_Revision);
   Now.m_Upstreams = Number(m_State.m_Upstreams.current().size());
@@ -340,14 +350,14 @@
     Now.m_PeerBytes[Kind] = Number(Sent.m_Bytes);
   }
   Now.m_FramesSkipped = Number(m_Fleet.skipped());
-  Now.m_StoreReached = m_Exchange.storeJustReached() ? 1 : 0;
-  Now.m_IsOrderLeader = m_Giver.giving() ? 1 : 0;
-  Now.m_FencingToken = Number(m_Giver.holder().m_Token);
+  Now.m_StoreReached = m_Exchange.storeReachable() ? 1 : 0;
+  Now.m_IsOrderLeader = m_Leader.leading() ? 1 : 0;
+  Now.m_FencingToken = Number(m_Leader.leader().m_Token);
   Now.m_DroppedLogLines = Number(m_Log.droppedLines());
   Now.m_QuarantinedRequests = Number(m_State.m_Crashes.quarantines().size());
   Now.m_BackedOffUpstreams =
-      Number(m_State.m_Words.backedOffCount(EventLoop::now()));
-  Now.m_LimitedUpstreams = Number(m_State.m_Words.limits().size());
+      Number(m_State.m_Signals.backedOffCount(EventLoop::now()));
+  Now.m_LimitedUpstreams = Number(m_State.m_Signals.limits().size());
   Now.m_Cold = m_State.m_WarmUp.coldByDataCentre(EventLoop::now());
   m_Metrics.set(Now);
   Exchange->reply(200, {{"Content-Type", "text/plain; version=0.0.4"}},
@@ -368,16 +378,18 @@
   m_Quotas->setTolerance(Bounds.quotaTolerance());
   m_Permits->setTolerance(Bounds.m_WarmUp);
   m_Exchange.lists().watchConfigClosely(Bounds.m_FailClosed);
-  // A box that serves when operators begin to evacuate goes on meanwhile.
+  // A box that already serves when operators enable evacuations continues to
+  // serve until it knows them.
   const bool Evacuates = Bounds.m_EvacuationDelay.has_value();
   m_State.m_NeedsEvacuations =
-      Evacuates && (m_State.m_NeedsEvacuations || !m_State.knowsAll());
+      Evacuates && (m_State.m_NeedsEvacuations || !m_State.hasRequiredState());
   m_Exchange.lists().followEvacuations(Evacuates);
   if (!Evacuates)
     endEvacuations();
 }
 
-/// Nobody follows them any more, so none may stand for good.
+/// Without evacuations enabled nobody follows their list, so none may remain in
+/// force.
 void Gateway::endEvacuations() {
   if (m_State.m_Upstreams.evacuations().m_DataCentres.empty())
     return;
@@ -385,30 +397,31 @@
                     .m_DataCentres = {}});
 }
 
-/// Where operators ask for it, keys are not trusted when the configuration may
-/// be older than the time in which a key that was taken away must be refused.
+/// Whether API keys may be trusted. With fail-closed set, they may not when the
+/// configuration may be older than the time in which a revoked key must be
+/// refused.
 bool Gateway::mayTrustKeys() const {
   const ServingBounds &Bounds = m_Options.m_Bounds;
   return !Bounds.m_FailClosed ||
-         EventLoop::now() - m_Exchange.lists().configAsOf() <=
+         EventLoop::now() - m_Exchange.lists().configConfirmedAt() <=
              Bounds.m_RevocationDelay;
 }
 
 void Gateway::reload() {
   try {
-    GatewayOptions Read = m_Binding.m_ReadOptions();
-    if (Read.m_Bounds == m_Options.m_Bounds)
+    GatewayOptions NewOptions = m_Binding.m_ReadOptions();
+    if (NewOptions.m_Bounds == m_Options.m_Bounds)
       return;
-    m_Options.m_Bounds = Read.m_Bounds;
+    m_Options.m_Bounds = NewOptions.m_Bounds;
     applyBounds();
-    m_Giver.setBounds(m_Options.m_Bounds);
+    m_Leader.setBounds(m_Options.m_Bounds);
     m_Log.write("settings_changed", {{"box", m_Options.m_Box.str()}});
   } catch (const std::exception &Error) {
     m_Log.write("bad_settings", {{"why", Error.what()}});
   }
 }
 
-void Gateway::logConfigRead(const PrefixMirror::ReadEnd &End) {
+void Gateway::logConfigRead(const WatchCache::ReadOutcome &End) {
   const char *Outcome = toString(End.m_Status);
   m_Metrics.recordConfigRead(Outcome);
   m_Log.write("config_read", {{"kind", toString(End.m_Kind)},
@@ -419,35 +432,37 @@
                               {"next_ms", End.m_NextTry / 1ms}});
 }
 
-void Gateway::logConfig(const ServingConfig &Read, StoreRevision Revision) {
+void Gateway::logConfig(const ServingConfig &Config, StoreRevision Revision) {
   const TimePoint Now = EventLoop::now();
-  const ConfigFetchPolicy::NewestVersion &Known =
+  const ConfigFetchPolicy::NewestVersion &Newest =
       m_Exchange.lists().config().newest();
-  const bool Told = Known.m_Version >= Read.m_Version;
-  const char *Source = toString(m_ConfigMirror.source());
+  const bool WasReported = Newest.m_Version >= Config.m_Version;
+  const char *Source = toString(m_ConfigCache.source());
   m_Metrics.recordConfigAdoption(Source);
-  m_Log.write("config",
-              {{"version", Read.m_Version},
-               {"before", m_State.configVersion()},
-               {"routes", Read.m_Routes.size()},
-               {"organisations", Read.m_Organisations.size()},
-               {"revision", Revision},
-               {"source", Source},
-               {"age_ms", m_Exchange.lists().configVouch(Now).m_Age / 1ms},
-               {"told_by", Told ? Known.m_By.str() : ""},
-               {"told_ms", Told ? Json((Now - Known.m_At) / 1ms) : Json()}});
+  m_Log.write(
+      "config",
+      {{"version", Config.m_Version},
+       {"before", m_State.configVersion()},
+       {"routes", Config.m_Routes.size()},
+       {"organisations", Config.m_Organisations.size()},
+       {"revision", Revision},
+       {"source", Source},
+       {"age_ms", m_Exchange.lists().configFreshness(Now).m_Age / 1ms},
+       {"told_by", WasReported ? Newest.m_By.str() : ""},
+       {"told_ms", WasReported ? Json((Now - Newest.m_At) / 1ms) : Json()}});
 }
 
-/// \returns whether \p Item is a newer configuration than the one in force.
+/// Puts the configuration of \p Item into force. \returns whether it is newer
+/// than the one in force.
 bool Gateway::takeConfig(const StoreItem &Item) {
   const TimePoint Began = EventLoop::now();
   try {
-    ServingConfig Read = m_Binding.m_DecodeConfig(Item.m_Value);
-    if (m_State.m_Config && Read.m_Version <= m_State.configVersion())
+    ServingConfig Config = m_Binding.m_DecodeConfig(Item.m_Value);
+    if (m_State.m_Config && Config.m_Version <= m_State.configVersion())
       return false;
-    logConfig(Read, Item.m_Revision);
-    m_Callers->setIdleTimeout(Read.m_Limits.m_IdleTimeout + IdleMargin);
-    m_State.m_Config = std::make_shared<const ServingConfig>(std::move(Read));
+    logConfig(Config, Item.m_Revision);
+    m_Callers->setIdleTimeout(Config.m_Limits.m_IdleTimeout + IdleMargin);
+    m_State.m_Config = std::make_shared<const ServingConfig>(std::move(Config));
     m_Quotas->configure(m_State.m_Config->m_Organisations);
     m_State.m_WarmUp.configure(m_State.m_Config->m_Services);
     m_Log.write("config_in_force",
@@ -463,7 +478,7 @@
 }
 
 void Gateway::configChanged() {
-  for (const auto &[Key, Item] : m_ConfigMirror.items())
+  for (const auto &[Key, Item] : m_ConfigCache.items())
     if (takeConfig(Item))
       m_Exchange.configChanged();
   m_Permits->refreshRole();
@@ -472,10 +487,10 @@
 }
 
 InstanceList Gateway::readUpstreams() {
-  const PrefixMirror &List = m_UpstreamMirror;
-  return List.part() ? m_Registry.readShortlist(List.items(), List.revision())
-                     : m_Registry.read(List.items(), List.revision(),
-                                       m_State.m_DataCentres);
+  const WatchCache &List = m_UpstreamCache;
+  return List.partial() ? m_Registry.readSubset(List.items(), List.revision())
+                        : m_Registry.read(List.items(), List.revision(),
+                                          m_State.m_DataCentres);
 }
 
 void Gateway::upstreamsChanged() {
@@ -484,38 +499,39 @@
   Json Names = Json::array();
   for (const UpstreamInstance &Each : Gone) {
     m_State.forget(Each.m_Id);
-    if (Names.size() < MostLogged)
+    if (Names.size() < MaxLoggedNames)
       Names.push_back(Each.m_Id);
-    // Connections that were kept ended with it; nothing may be sent on them.
+    // Kept connections ended with the upstream's former process; nothing may be
+    // sent on them.
     if (const auto Address = Endpoint::parse(Each.m_Address);
         Address && m_State.m_Upstreams.list().m_Instances.contains(Each.m_Id))
       m_UpstreamHttp.forget(*Address);
   }
-  m_State.m_Words.update(m_State.m_Upstreams.list(), EventLoop::now());
+  m_State.m_Signals.update(m_State.m_Upstreams.list(), EventLoop::now());
   m_Permits->onListChanged(m_State.m_Upstreams.list());
   m_Crashes->onListChanged();
   m_Log.write("upstreams",
-              {{"revision", m_UpstreamMirror.revision()},
+              {{"revision", m_UpstreamCache.revision()},
                {"listed", m_Registry.size()},
                {"known", m_State.m_Upstreams.list().m_Instances.size()},
                {"tell_birth", m_State.m_Upstreams.countWithStartTime()},
                {"gone", std::move(Names)},
                {"all_gone", Gone.size()}});
   m_Exchange.upstreamsChanged();
-  m_Giver.upstreamsChanged();
+  m_Leader.upstreamsChanged();
   m_Forwarder.upstreamsChanged();
   m_Forwarder.releaseStartupQueue();
 }
 
-/// A server said so itself.
-void Gateway::serverLeaves() {
-  m_Giver.upstreamsChanged();
+/// An upstream has announced that it is draining.
+void Gateway::onUpstreamDraining() {
+  m_Leader.upstreamsChanged();
   m_Forwarder.upstreamsChanged();
 }
 
 void Gateway::evacuationsChanged() {
-  Evacuations Asked{.m_Revision = m_EvacuationMirror.revision()};
-  for (const auto &[Key, Item] : m_EvacuationMirror.items())
+  Evacuations Asked{.m_Revision = m_EvacuationCache.revision()};
+  for (const auto &[Key, Item] : m_EvacuationCache.items())
     Asked.m_DataCentres.emplace(
         Key.substr(m_Binding.m_EvacuationPrefix.size()));
   applyEvacuations(std::move(Asked));
@@ -536,14 +552,15 @@
       "evacuations",
       {{"revision", View.evacuations().m_Revision},
        {"data_centres", std::move(Names)},
-       {"age_ms", std::min<Duration>(
-                      NoListAge, Now - m_Exchange.lists().evacuationsAsOf()) /
-                      1ms}});
-  // Engines that come back may have turned cold without a word.
+       {"age_ms",
+        std::min<Duration>(NoListAge,
+                           Now - m_Exchange.lists().evacuationsConfirmedAt()) /
+            1ms}});
+  // Engines that return may have become cold without a report.
   for (const DataCentreName &Each : Before.m_DataCentres)
     if (!View.evacuations().contains(Each))
       m_State.m_WarmUp.suspectAt(Each, Now);
-  m_Giver.evacuationsChanged(Now);
+  m_Leader.evacuationsChanged(Now);
   m_Forwarder.upstreamsChanged();
   m_Forwarder.releaseStartupQueue();
 }
@@ -552,25 +569,25 @@
   if (std::exchange(m_State.m_Stopping, true))
     return;
   const TimePoint Now = EventLoop::now();
-  m_LeaveAt = Now + LeastStop;
+  m_LeaveAt = Now + MinStopTime;
   m_BusyAt = Now;
   m_StopAt = Now + m_Options.m_Bounds.m_GracePeriod - GraceMargin;
   m_Callers->closeAfterAnswers();
-  // Those that wait for a load go elsewhere at once.
+  // Requests that wait for a load go elsewhere at once.
   m_Forwarder.upstreamsChanged();
   m_Forwarder.releaseStartupQueue();
-  m_Giver.leave();
+  m_Leader.resign();
   m_Fleet.leave();
   m_Log.write("stopping", {{"open", m_Forwarder.open()}});
-  m_StopTimer = m_Loop.every(StopCheckEvery, [this] { stopIfIdle(); });
+  m_StopTimer = m_Loop.every(StopCheckInterval, [this] { stopIfIdle(); });
 }
 
 void Gateway::stopIfIdle() {
   const TimePoint Now = EventLoop::now();
   if (m_Forwarder.open() > 0)
     m_BusyAt = Now;
-  // The last bytes of an answer are still on their way when its request ends.
-  const bool Idle = Now >= m_LeaveAt && Now - m_BusyAt >= FlushFor;
+  // The last bytes of an answer may still be in transit when its request ends.
+  const bool Idle = Now >= m_LeaveAt && Now - m_BusyAt >= FlushTime;
   if (!Idle && Now < m_StopAt)
     return;
   m_Log.write("stopped", {{"open", m_Forwarder.open()}});
--- a/packages/gateway/process/Gateway.h
+++ b/packages/gateway/process/Gateway.h
@@ -10,15 +10,15 @@
 #include "gateway/process/GatewayMetrics.h"
 #include "gateway/process/GatewayPolicy.h"
 #include "gateway/process/MeteredStore.h"
-#include "gateway/process/OrderGiver.h"
+#include "gateway/process/OrderLeader.h"
 #include "gateway/process/PermitExchange.h"
 #include "gateway/process/PlatformBinding.h"
-#include "gateway/process/PrefixMirror.h"
 #include "gateway/process/QuotaExchange.h"
 #include "gateway/process/ServingState.h"
 #include "gateway/process/StoreCallLog.h"
 #include "gateway/process/UpstreamRegistry.h"
 #include "gateway/process/UpstreamSignalExchange.h"
+#include "gateway/process/WatchCache.h"
 #include "gateway/request/Forwarder.h"
 #include "wire/common/EventLoop.h"
 #include "wire/common/HttpClient.h"
@@ -33,7 +33,8 @@
 
 namespace havenstair {
 
-/// Puts together what one process needs; all of it runs on one loop.
+/// Owns and connects the components of one process, all of which run on one
+/// event loop.
 class Gateway {
 public:
   /// \throws std::runtime_error when an address cannot be bound.
@@ -44,44 +45,49 @@
   Gateway(const Gateway &) = delete;
   Gateway &operator=(const Gateway &) = delete;
 
-  /// The bound addresses, with their real ports.
+  /// The bound addresses, with their actual ports.
   Endpoint callers() const { return m_Callers->endpoint(); }
   Endpoint readiness() const { return m_Readiness->endpoint(); }
   Endpoint metrics() const { return m_MetricsServer->endpoint(); }
+  /// State that all requests share.
   const ServingState &state() const { return m_State; }
-  /// Requests that have no answer yet.
+  /// Number of requests that have no answer yet.
   std::size_t openRequests() const { return m_Forwarder.open(); }
-  bool givesOrders() const { return m_Giver.giving(); }
+  /// Whether this box sends orders to engines.
+  bool leading() const { return m_Leader.leading(); }
+  /// Number of linked boxes.
   std::size_t peers() const { return m_Fleet.linked().size(); }
-  /// Entries of the list of upstreams, as far as this box knows them.
+  /// Number of entries of the list of upstreams, as far as this box knows them.
   std::size_t listedUpstreams() const { return m_Registry.size(); }
-  /// Frames that it has sent to other boxes, by kind.
+  /// Frames that this box has sent to other boxes, by kind.
   const std::map<std::string_view, Fleet::Sent> &sent() const {
     return m_Fleet.sent();
   }
-  bool watchesList() const { return m_UpstreamMirror.running(); }
+  /// Whether this box watches the list of upstreams itself.
+  bool watchesList() const { return m_UpstreamCache.running(); }
 
-  /// Reads the settings again; a bad file leaves the last good ones in force.
+  /// Reloads the settings; an invalid file leaves the last valid ones in force.
   void reload();
-  /// Ends when no request is under way, and before the grace period does.
+  /// Stops the process: the callback that the constructor got is called once no
+  /// request is open, at the latest shortly before the grace period ends.
   void stop();
 
 private:
   Fleet::Hooks fleetHooks();
   CrashExchange::Hooks crashHooks();
-  PrefixMirror::Options mirrorOptions(const std::string &Prefix,
-                                      Duration Gather, Duration Wait,
-                                      ReadKind FirstRead = ReadKind::Current);
+  WatchCache::Options cacheOptions(const std::string &Prefix,
+                                   Duration CoalesceDelay, Duration Wait,
+                                   ReadKind FirstRead = ReadKind::Current);
   void startServers();
   void ownKeysChanged();
   void resync();
   void configChanged();
   bool takeConfig(const StoreItem &Item);
-  void logConfigRead(const PrefixMirror::ReadEnd &End);
-  void logConfig(const ServingConfig &Read, StoreRevision Revision);
+  void logConfigRead(const WatchCache::ReadOutcome &End);
+  void logConfig(const ServingConfig &Config, StoreRevision Revision);
   InstanceList readUpstreams();
   void upstreamsChanged();
-  void serverLeaves();
+  void onUpstreamDraining();
   void evacuationsChanged();
   void endEvacuations();
   void applyEvacuations(Evacuations Asked);
@@ -108,18 +114,18 @@
   ServingState m_State;
   Forwarder m_Forwarder;
   UpstreamRegistry m_Registry;
-  PrefixMirror m_ConfigMirror;
-  PrefixMirror m_UpstreamMirror;
-  PrefixMirror m_OwnMirror;
-  PrefixMirror m_EvacuationMirror;
-  BoxName m_Process; ///< Name of this start of the process.
+  WatchCache m_ConfigCache;
+  WatchCache m_UpstreamCache;
+  WatchCache m_OwnKeysCache;
+  WatchCache m_EvacuationCache;
+  BoxName m_ProcessName; ///< Name of this process of the box.
   Fleet m_Fleet;
-  OrderGiver m_Giver;
+  OrderLeader m_Leader;
   FleetExchange m_Exchange;
   std::shared_ptr<QuotaExchange> m_Quotas;
   std::shared_ptr<PermitExchange> m_Permits;
   std::shared_ptr<CrashExchange> m_Crashes;
-  std::shared_ptr<UpstreamSignalExchange> m_Words;
+  std::shared_ptr<UpstreamSignalExchange> m_Signals;
   std::unique_ptr<HttpServer> m_Callers;
   std::unique_ptr<HttpServer> m_Readiness;
   std::unique_ptr<HttpServer> m_MetricsServer;
--- a/packages/gateway/process/ListFollower.h
+++ b/packages/gateway/process/ListFollower.h
@@ -1,14 +1,14 @@
 /// \file
-/// Which box reads lists of the store, and which follow it. See
+/// Which box watches the lists of the store, and which boxes follow it. See
 /// docs/design/fleet.md.
 #ifndef HAVENSTAIR_GATEWAY_PROCESS_LISTFOLLOWER_H
 #define HAVENSTAIR_GATEWAY_PROCESS_LISTFOLLOWER_H
 
 #include "gateway/common/ConfigFreshness.h"
-#include "gateway/process/ConfigAnswers.h"
 #include "gateway/process/ConfigFollower.h"
-#include "gateway/process/PrefixMirror.h"
+#include "gateway/process/ConfigSendQueue.h"
 #include "gateway/process/ServingState.h"
+#include "gateway/process/WatchCache.h"
 #include "wire/common/EventLoop.h"
 #include "wire/connection/EncodedFrame.h"
 #include "wire/connection/FleetFrames.h"
@@ -21,144 +21,160 @@
 
 class DecisionLog;
 class Fleet;
-class OrderGiver;
+class OrderLeader;
 class UpstreamRegistry;
 
-/// Keeps this box's copies of the store's lists as new as they must be: by the
-/// word of the box that reads for all while that vouches for them, by reading
-/// itself otherwise.
+/// Keeps this box's copies of the store's lists as fresh as they must be: by
+/// updates from the box that reads for all while that box confirms them, by
+/// reading the store itself otherwise.
 class ListFollower {
 public:
   struct Options {
-    /// Of the platform: how long a leaving upstream may get new work.
+    /// How long the platform lets a draining upstream get new work.
     Duration m_DrainTimeout = 2s;
-    bool m_FirstStart = false; ///< The whole fleet starts now.
+    bool m_FirstStart = false; ///< Whether the whole fleet starts now.
   };
-  /// What it reads and changes.
-  struct Parts {
+  /// The objects that it reads and changes.
+  struct Dependencies {
     Fleet &m_Fleet;
-    OrderGiver &m_Giver;
+    OrderLeader &m_Leader;
     ServingState &m_State;
-    PrefixMirror &m_Config;
-    PrefixMirror &m_Upstreams;
-    const UpstreamRegistry &m_Registry; ///< Of m_Upstreams.
-    PrefixMirror &m_Boxes;
-    PrefixMirror &m_Evacuations;
+    WatchCache &m_Config;
+    WatchCache &m_Upstreams;
+    const UpstreamRegistry &m_Registry; ///< Decodes m_Upstreams.
+    WatchCache &m_Boxes;
+    WatchCache &m_Evacuations;
     DecisionLog &m_Log;
   };
   struct Hooks {
-    /// The next box on the way to the one that gives orders; may be empty.
-    std::function<BoxName()> m_TowardsGiver;
-    /// Others are about to read what this box has just learned.
-    std::function<void()> m_TellNow;
-    /// A leaf asks for the whole of its list of upstreams.
-    std::function<void(const BoxName &)> m_TellLeaf;
-    /// Connections to the store may be dead without saying so: the next call
-    /// takes a new one.
+    /// Returns the next hop towards the leader; may be empty.
+    std::function<BoxName()> m_NextHopToLeader;
+    /// Sends a digest at once: other boxes are about to read what this box has
+    /// just learned.
+    std::function<void()> m_SendNow;
+    /// Sends a leaf the whole of its subset of upstreams.
+    std::function<void(const BoxName &)> m_SendToLeaf;
+    /// Closes the connections to the store, which may be dead without an error;
+    /// the next call opens a new one.
     std::function<void()> m_DropConnections;
   };
 
-  ListFollower(EventLoop &Loop, Parts Of, Options Opts, Hooks Callbacks);
+  ListFollower(EventLoop &Loop, Dependencies Deps, Options Opts,
+               Hooks Callbacks);
   ListFollower(const ListFollower &) = delete;
   ListFollower &operator=(const ListFollower &) = delete;
 
-  /// The topology may have changed.
-  void arranged();
-  /// Whom it follows is chosen anew.
-  void choose();
+  /// To be called when the topology may have changed.
+  void onTopologyChanged();
+  /// Chooses the box to follow, and what this box reads itself.
+  void chooseSource();
+  /// Forgets what \p Box, whose link is gone, has reported.
   void forget(const BoxName &Box);
 
-  /// Fills in what \p Frame tells of the lists; it counts as told then.
+  /// Fills in the fields of \p Frame about the lists, which counts as sent
+  /// then.
   void describe(FleetDigestFrame &Frame, TimePoint Now);
-  /// Tells \p To the lists that requests are sent by.
-  void tellWhole(const BoxName &To);
-  /// What this box would ask another one for.
-  FleetWantFrame want() const;
-  /// Sends \p From what is newer here than \p Frame says.
-  void answer(const BoxName &From, const FleetWantFrame &Frame);
+  /// Sends \p To whole copies of the lists by which requests are routed.
+  void sendSnapshots(const BoxName &To);
+  /// A request for everything that is newer than the copies of this box.
+  FleetWantFrame makeWantFrame() const;
+  /// Sends \p From the lists that are newer here than \p Frame says.
+  void answerRequest(const BoxName &From, const FleetWantFrame &Frame);
+  /// Merges keys that \p From has sent; requests more when some are missing.
   void adopt(const BoxName &From, const FleetKeysFrame &Frame);
-  static FleetKeysFrame keysFrame(const PrefixMirror &Of,
-                                  const PrefixMirror::Delta &News);
-  /// What keysFrame() was given.
-  static PrefixMirror::Delta newsIn(const FleetKeysFrame &Frame);
+  /// The frame that sends \p Changes of \p Cache.
+  static FleetKeysFrame keysFrame(const WatchCache &Cache,
+                                  const WatchCache::Delta &Changes);
+  /// The inverse of keysFrame().
+  static WatchCache::Delta deltaIn(const FleetKeysFrame &Frame);
 
-  /// How it comes by newer configurations.
+  /// Fetches newer configurations.
   ConfigFollower &config() { return m_Config; }
   const ConfigFollower &config() const { return m_Config; }
-  /// Which boxes wait for the configuration of this one.
-  ConfigAnswers &configAnswers() { return m_ConfigAnswers; }
-  /// Another box tells of a list.
-  void noteNewer(const FleetDigestFrame &Frame, TimePoint Now);
-  /// \p HeldUp: by how much longer than usual the word was under way.
-  void heard(const BoxName &From, const FleetDigestFrame &Frame,
-             Duration HeldUp, TimePoint Now);
+  /// The boxes that wait for the configuration of this one.
+  ConfigSendQueue &configSendQueue() { return m_ConfigSendQueue; }
+  /// Reads the list of upstreams anew when \p Frame proves this box's watch
+  /// late.
+  void readIfBehind(const FleetDigestFrame &Frame, TimePoint Now);
+  /// Records how fresh the lists of \p From are. \p ExcessDelay is by how much
+  /// longer than usual \p Frame was in transit.
+  void recordDigest(const BoxName &From, const FleetDigestFrame &Frame,
+                    Duration ExcessDelay, TimePoint Now);
 
-  /// Whether the uplink of this box, a leaf, has to be followed, and its lists
-  /// have been too old for long: another one may know better.
-  bool uplinkFails(TimePoint Now) const;
+  /// Whether this box, a leaf, depends on its uplink and its lists have been
+  /// too old for long: another relay may be fresher.
+  bool uplinkOutdated(TimePoint Now) const;
 
-  ConfigFreshness configVouch(TimePoint Now) const;
-  /// As of when this box's configuration was the store's, or later; and its
+  /// How old this box's configuration may be, and which box confirmed it.
+  ConfigFreshness configFreshness(TimePoint Now) const;
+  /// When this box's configuration was confirmed as the store's state; and its
   /// evacuations.
-  TimePoint configAsOf() const;
-  TimePoint evacuationsAsOf() const;
-  /// Whether to watch the configuration closely, as where keys must not be
-  /// trusted by an old one.
+  TimePoint configConfirmedAt() const;
+  TimePoint evacuationsConfirmedAt() const;
+  /// Sets whether to watch the configuration closely, for when keys must not be
+  /// trusted with an outdated configuration.
   void watchConfigClosely(bool Closely) { m_ConfigClosely = Closely; }
-  /// Operators evacuate data centres: what they ask for travels with the list.
+  /// Sets whether operators may evacuate data centres; the evacuations are then
+  /// followed like the list of upstreams.
   void followEvacuations(bool Follow) { m_FollowEvacuations = Follow; }
 
 private:
   Duration age(TimePoint Now) const;
-  TimePoint listAsOf() const;
-  TimePoint knownAsOf(const PrefixMirror &Mirror) const;
-  Duration mostListAge() const;
+  TimePoint listConfirmedAt() const;
+  TimePoint confirmedAtOf(const WatchCache &Cache) const;
+  Duration maxListAge() const;
   BoxName listSource(TimePoint Now) const;
-  /// As of when \p Box vouches for this box's copy.
-  TimePoint vouchedAsOf(const BoxName &Box) const;
-  bool vouches(const BoxName &Box, TimePoint Now) const;
-  Duration gather() const;
+  /// When \p Box confirmed this box's copy; the beginning of time when it has
+  /// not.
+  TimePoint peerConfirmedAt(const BoxName &Box) const;
+  bool confirms(const BoxName &Box, TimePoint Now) const;
+  Duration coalesceDelay() const;
   bool listsBehind(const FleetWantFrame &Newest) const;
-  const EncodedFrame &whole(const PrefixMirror &Of);
-  void answerList(const BoxName &From);
-  bool lacksWhole() const;
+  const EncodedFrame &encodedSnapshot(const WatchCache &Cache);
+  void sendList(const BoxName &From);
+  bool needsFullList() const;
   bool followsUplink() const;
   void watchClosely();
-  ConfigAnswers::Hooks answerHooks();
-  bool startsSoon(TimePoint Now) const;
-  bool leavesEvacuations(TimePoint Now, bool Relayed) const;
-  void follow(PrefixMirror &Mirror, bool Relayed);
-  std::array<PrefixMirror *, 4> all() const;
-  PrefixMirror *mirrorOf(const std::string &Prefix) const;
+  ConfigSendQueue::Hooks sendQueueHooks();
+  bool awaitsFirstList(TimePoint Now) const;
+  bool skipsEvacuations(TimePoint Now, bool Relayed) const;
+  void setRelayed(WatchCache &Cache, bool Relayed);
+  std::array<WatchCache *, 4> caches() const;
+  WatchCache *cacheFor(const std::string &Prefix) const;
 
-  /// What a box whose lists this one could follow last said of them.
-  struct ListWord {
-    TimePoint m_AsOf{};      ///< They were the store's state then, or later.
-    FleetWantFrame m_Newest; ///< What they hold.
-    /// As of when this box's copy was the same as theirs before that.
-    TimePoint m_AsOfBefore{};
+  /// What a box whose lists this one could follow last reported of them.
+  struct PeerLists {
+    /// Its lists were the store's state then, or later.
+    TimePoint m_ConfirmedAt{};
+    FleetWantFrame m_Newest; ///< The revisions of its lists.
+    /// When this box's copy was last confirmed by that box before this report.
+    TimePoint m_ConfirmedBefore{};
   };
 
-  Parts m_Of;
+  Dependencies m_Deps;
   Options m_Opts;
   Hooks m_Hooks;
-  /// A whole copy, for those that ask for it.
-  struct WholeCopy {
+  /// A whole copy, encoded for the boxes that request it.
+  struct EncodedSnapshot {
     StoreRevision m_At = 0;
     EncodedFrame m_Frame;
   };
-  std::map<std::string, WholeCopy> m_WholeCopies; ///< By prefix.
-  std::map<BoxName, ListWord> m_ListWords;
-  TimePoint m_ListAsOf{}; ///< The latest that was known of this box's copy.
-  BoxName m_ListSource;   ///< The box whose lists this one follows.
-  TimePoint m_ToldAsOf =
-      EventLoop::now(); ///< As of when this box last vouched for its lists.
+  std::map<std::string, EncodedSnapshot> m_Snapshots; ///< By prefix.
+  std::map<BoxName, PeerLists> m_PeerLists;
+  TimePoint
+      /// Latest time at which this box's list was known as the store's state.
+      m_ListConfirmedAt{};
+  BoxName m_ListSource; ///< The box whose lists this one follows.
+  TimePoint m_SentConfirmedAt =
+      /// The time as of which this box last confirmed its lists to others.
+      EventLoop::now();
   TimePoint m_StartedAt = EventLoop::now();
-  TimePoint m_ListReadAt{}; ///< When it was read anew on another box's word.
+  /// When the list was last reread because another box had a newer one.
+  TimePoint m_ListReadAt{};
   bool m_ConfigClosely = false;
   bool m_FollowEvacuations = false;
   ConfigFollower m_Config;
-  ConfigAnswers m_ConfigAnswers;
+  ConfigSendQueue m_ConfigSendQueue;
   Timer m_SourceTimer;
 };
 
--- /dev/null
+++ b/packages/gateway/process/OrderLeader.cpp
@@ -0,0 +1,786 @@
+#include "gateway/process/OrderLeader.h"
+
+#include "gateway/common/DecisionLog.h"
+#include "wire/common/Json.h"
+#include <algorithm>
+#include <cmath>
+#include <utility>
+
+namespace havenstair {
+
+namespace {
+
+/// Intervals of ticks: while this box leads, while it may be elected, and
+/// otherwise.
+constexpr Duration TickInterval = 50ms;
+constexpr Duration StandbyTickInterval = 150ms;
+constexpr Duration IdleTickInterval = 1s;
+constexpr Duration PlanInterval = 200ms;
+/// After a plan, the next waits for this many times the plan's duration: plans
+/// of a large fleet would leave no time for anything else.
+constexpr int PlanPauseFactor = 5;
+
+/// Time until all boxes know that a model is being retired.
+constexpr Duration RetireNotice = 120ms;
+
+/// How long a model counts as missing after the last request for it.
+constexpr Duration MissingRetention = 5s;
+
+/// Added to the time between the orders of two leaders.
+constexpr Duration HandoverMargin = 300ms;
+
+constexpr Duration ReportInterval = 120ms;
+/// Most report calls in flight. An answer takes some milliseconds, and a box
+/// that asks thousands of engines at once does nothing else.
+constexpr std::size_t MaxPendingReports = 64;
+constexpr Duration ReportRetryDelay = 400ms;
+/// Expected duration of an unload.
+constexpr Duration UnloadTime = 60ms;
+
+/// No plan is made this long after engines return to the list or the list is
+/// first read, since models of engines that are not listed yet seem missing.
+constexpr Duration SettleTime = 1300ms;
+
+/// A model that cannot be unloaded within this time stays.
+constexpr Duration UnloadTimeout = 6s;
+
+/// A move whose engine accepts no order within this time is planned anew.
+constexpr Duration BeginTimeout = 1500ms;
+
+/// Most moves that one plan starts.
+constexpr std::size_t MaxMovesPerPlan = 6;
+
+/// A leader that is replaced learns of it within this time.
+constexpr Duration DeposedNoticeDelay = 700ms;
+
+/// A report may be out of date by up to this.
+constexpr Duration MaxReportLag = 300ms;
+
+/// An order that an engine accepted before it left the list may start within
+/// this time.
+constexpr Duration DelistedOrderLife = 5s;
+
+/// An order may be carried out this long after it was sent.
+constexpr Duration OrderLife = EngineLedger::Options{}.m_OrderLife;
+
+/// Work in milliseconds per second that each replica of a model beyond the
+/// first stands for: a third of an engine, a comfortable load.
+constexpr double SpareReplicaWorkMs = 300;
+
+} // namespace
+
+OrderLeader::OrderLeader(EventLoop &Loop, CoordinationStore &Store,
+                         EngineControl &Engines, ServingState &State,
+                         DecisionLog &Log, Options Opts, Hooks Callbacks)
+    : m_Loop(Loop), m_Control(Engines), m_State(State), m_Log(Log),
+      m_Opts(std::move(Opts)), m_Hooks(std::move(Callbacks)),
+      m_Rates(m_Opts.m_Rates),
+      m_Election(Store, Log, m_Opts.m_Election,
+                 {.m_Elected =
+                      [this](const LeaderElection::Predecessor &Before) {
+                        onElected(Before);
+                      },
+                  .m_Lost = [this] { onDeposed(); },
+                  .m_Prepared = [this] { return m_State.hasRequiredState(); },
+                  .m_KeysReadAt = m_Hooks.m_KeysReadAt,
+                  .m_Random = m_Hooks.m_Random}),
+      m_ShortageLog(Log) {
+  tickLater();
+}
+
+void OrderLeader::tickLater() {
+  const Duration Away = leading()               ? TickInterval
+                        : m_Election.eligible() ? StandbyTickInterval
+                                                : IdleTickInterval;
+  m_Timer = m_Loop.after(Away, [this] {
+    tick();
+    tickLater();
+  });
+}
+
+OrderLeader::~OrderLeader() = default;
+
+void OrderLeader::setBounds(const ServingBounds &Bounds) {
+  m_Opts.m_Bounds = Bounds;
+}
+
+void OrderLeader::setVoters(std::set<BoxName> Others, bool Eligible) {
+  const bool Before = m_Election.eligible();
+  m_Election.setVoters(std::move(Others), Eligible);
+  if (Before != Eligible)
+    tickLater();
+}
+
+void OrderLeader::onElected(const LeaderElection::Predecessor &Before) {
+  const TimePoint Now = EventLoop::now();
+  const bool SameMachine = Before.m_SameMachine;
+  tickLater();
+  m_EarliestOrder =
+      Before.m_None || SameMachine
+          ? Now
+          : Now + m_Opts.m_Bounds.m_LeaderHandover + HandoverMargin;
+  m_Engines.clear();
+  m_DelistedEngines.clear();
+  m_ClaimedAt = Now;
+  m_Ceiling = LoadRateLimiter();
+  m_DemandSeeded = false;
+  // The former leader learns only with a delay that it was replaced.
+  const TimePoint LastOrder = SameMachine ? Now : Now + DeposedNoticeDelay;
+  m_PredecessorOrdersUntil = Before.m_None ? Now : LastOrder + MaxReportLag;
+  if (!Before.m_None)
+    m_Ceiling.assumeFullWindow(LastOrder);
+  m_Log.write("giver", {{"token", m_Election.token()},
+                        {"before", Before.m_Machine},
+                        {"orders_in_ms", (m_EarliestOrder - Now) / 1ms}});
+}
+
+void OrderLeader::onDeposed() {
+  m_Engines.clear();
+  m_Log.write("giver_lost", {{"token", m_Election.token()}});
+}
+
+void OrderLeader::resign() {
+  m_Resigned = true;
+  m_Election.release();
+}
+
+bool OrderLeader::mayOrder(TimePoint Now) const {
+  return Now >= m_EarliestOrder && m_Election.confirmed(Now);
+}
+
+const EngineSpec *OrderLeader::specOf(const std::string &Service) const {
+  const ServiceSpec *Spec =
+      m_State.m_Config ? m_State.m_Config->service(Service) : nullptr;
+  return Spec != nullptr && Spec->m_Engine ? &*Spec->m_Engine : nullptr;
+}
+
+void OrderLeader::addDemand(const ModelDemands &Demand) {
+  const TimePoint Now = EventLoop::now();
+  for (const auto &[Key, Each] : Demand)
+    m_Rates.add(Key, Each, Now);
+}
+
+void OrderLeader::addMissing(const std::vector<ModelKey> &Keys) {
+  const TimePoint Now = EventLoop::now();
+  for (const ModelKey &Key : Keys)
+    m_Missing.try_emplace(Key, MissingKey{.m_Since = Now})
+        .first->second.m_Last = Now;
+  if (leading())
+    tickSoon(true);
+}
+
+/// Schedules one tick in the next pass of the loop, or, with \p Plan, as soon
+/// as a plan may be made.
+void OrderLeader::tickSoon(bool Plan) {
+  TimePoint At = EventLoop::now();
+  if (Plan) {
+    // A whole plan may take long in a large fleet. What requests wait for is
+    // planned separately in the meantime.
+    m_NextPlan = std::max(At, m_EarliestPlan);
+    m_AwaitedPlanDue = true;
+    At = std::max(At, std::min(m_EarliestPlan, m_EarliestAwaitedPlan));
+  }
+  if (std::exchange(m_TickSoon, true))
+    return;
+  m_SoonTimer = m_Loop.after(At - EventLoop::now(), [this] {
+    m_TickSoon = false;
+    tick();
+  });
+}
+
+void OrderLeader::upstreamsChanged() {
+  if (leading())
+    refreshEngines(EventLoop::now());
+}
+
+void OrderLeader::evacuationsChanged(TimePoint Now) {
+  if (!leading())
+    return;
+  refreshEngines(Now);
+  keepCopiesAfterReturn(Now);
+  tickSoon(true);
+}
+
+/// Keeps models that were loaded elsewhere during an evacuation, for the usual
+/// time of a replica from now: the engines that return may be cold.
+void OrderLeader::keepCopiesAfterReturn(TimePoint Now) {
+  const ServingView &View = m_State.m_Upstreams;
+  const auto Returned = [&](const InstanceId &Id) {
+    return View.evacuationEndedAt(entryOf(Id)) == Now;
+  };
+  std::set<std::string> Models;
+  for (const auto &[Id, Each] : m_Engines)
+    if (Returned(Id))
+      for (const ResidentModel &Model : Each.m_Ledger.models())
+        Models.insert(Model.m_Name);
+  for (auto &[Id, Each] : m_Engines)
+    if (!Returned(Id))
+      Each.keepModels(Models, Now + SettleTime);
+}
+
+void OrderLeader::tick() {
+  const TimePoint Now = EventLoop::now();
+  if (m_Resigned)
+    return;
+  m_Election.tick(Now);
+  if (!leading())
+    return;
+  refreshEngines(Now);
+  askReports(Now);
+  advanceTasks(Now);
+  if (Now >= m_NextPlan) {
+    plan(Now);
+    m_EarliestPlan = Now + PlanPauseFactor * (EventLoop::now() - Now);
+    m_NextPlan = std::max(m_EarliestPlan, Now + PlanInterval);
+    m_AwaitedPlanDue = false;
+  } else if (m_AwaitedPlanDue && Now >= m_EarliestAwaitedPlan) {
+    m_AwaitedPlanDue = false;
+    planAwaited(Now);
+    m_EarliestAwaitedPlan = Now + PlanPauseFactor * (EventLoop::now() - Now);
+  }
+  publishChanges();
+}
+
+void OrderLeader::refreshEngines(TimePoint Now) {
+  std::erase_if(m_Engines, [&](auto &Each) {
+    const auto &Listed = m_State.m_Upstreams.list().m_Instances;
+    const auto Entry = Listed.find(Each.first);
+    if (Entry != Listed.end() && specOf(Entry->second.m_Service) != nullptr)
+      return false;
+    m_Ceiling.onSettled(Each.first, Now + DelistedOrderLife);
+    m_DelistedEngines[Each.first] =
+        Each.second.m_Ledger.lateOrdersWithCall(Now);
+    return true;
+  });
+  for (const auto &[Id, Entry] : m_State.m_Upstreams.list().m_Instances) {
+    if (specOf(Entry.m_Service) == nullptr)
+      continue;
+    const auto [Place, New] = m_Engines.try_emplace(Id);
+    ManagedEngine &Engine = Place->second;
+    // An engine that starts is empty. Engines that return to the list, as all
+    // may do after an outage of the store, bring back models that seemed
+    // missing.
+    const auto Before = m_DelistedEngines.extract(Id);
+    if (New && (Before || Now - m_ClaimedAt < SettleTime))
+      m_EnginesAddedAt = Now;
+    if (Before) {
+      Engine.m_Ledger.setLateOrders(Before.mapped());
+      Engine.m_Ledger.expireLateOrders(Now);
+    }
+    const auto AgainAt = m_State.m_Upstreams.restartedAt(Id);
+    const bool Again = Engine.recordStart(Entry.m_StartTime, Now);
+    if (Again || (New && AgainAt && Now - *AgainAt <= OrderLife))
+      countLateOrders(Id, Engine, Now);
+    // The first state must be the engine's own report: the list lags behind it.
+    if (Engine.m_Ledger.known())
+      Engine.m_Ledger.applyListEntry(Entry);
+    if (m_State.m_Upstreams.isLeaving(Entry))
+      Engine.m_Task.reset();
+  }
+}
+
+/// Counts orders to an earlier incarnation of an engine that this one may still
+/// carry out.
+void OrderLeader::countLateOrders(const InstanceId &Id, ManagedEngine &Engine,
+                                  TimePoint Now) {
+  const std::size_t Loads = Engine.m_Ledger.lateOrders().modelLoads();
+  m_Ceiling.onSettled(Id, Now);
+  m_Ceiling.addPossibleStarts(Loads, Now + OrderLife);
+  // Orders of the leader before this one are unknown.
+  const TimePoint FormerLate = m_PredecessorOrdersUntil + OrderLife;
+  const bool Held = m_PredecessorOrdersUntil > m_ClaimedAt && Now < FormerLate;
+  if (Held)
+    Engine.m_Ledger.blockLoadsUntil(FormerLate);
+  m_Log.write("engine_again", {{"engine", Id},
+                               {"born", Engine.m_StartTime},
+                               {"late_loads", Loads},
+                               {"held", Held}});
+}
+
+void OrderLeader::askReports(TimePoint Now) {
+  // A report from before the former leader's last order may be outdated by that
+  // order.
+  if (Now < m_PredecessorOrdersUntil)
+    return;
+  auto Asked = static_cast<std::size_t>(
+      std::count_if(m_Engines.begin(), m_Engines.end(), [](const auto &Each) {
+        return Each.second.m_ReportPending;
+      }));
+  // Known engines first: an unknown one only delays what might be planned
+  // there.
+  for (const bool Known : {true, false})
+    for (auto &[Id, Each] : m_Engines) {
+      const EngineLedger &Ledger = Each.m_Ledger;
+      const bool Due = Ledger.known() == Known && !Each.m_ReportPending &&
+                       Ledger.needsReport() && !Ledger.awaitsAnswer() &&
+                       Now >= Each.m_NextReport;
+      if (!Due || Asked >= MaxPendingReports)
+        continue;
+      ++Asked;
+      askReport(Id, Each, Now);
+    }
+}
+
+void OrderLeader::askReport(const InstanceId &Id, ManagedEngine &Engine,
+                            TimePoint Now) {
+  const auto Entry = m_State.m_Upstreams.list().m_Instances.find(Id);
+  if (Entry == m_State.m_Upstreams.list().m_Instances.end())
+    return;
+  Engine.m_ReportPending = true;
+  Engine.m_NextReport = Now + ReportInterval;
+  m_Control.report(Entry->second,
+                   [this, Id, Token = m_Election.token(),
+                    Now](const std::optional<ResidencyReport> &Report) {
+                     if (leading() && Token == m_Election.token())
+                       onReport(Id, Report, Now);
+                   });
+}
+
+void OrderLeader::onReport(const InstanceId &Id,
+                           const std::optional<ResidencyReport> &Report,
+                           TimePoint AskedAt) {
+  const auto Match = m_Engines.find(Id);
+  if (Match == m_Engines.end())
+    return;
+  ManagedEngine &Engine = Match->second;
+  const TimePoint Now = EventLoop::now();
+  Engine.m_ReportPending = false;
+  if (!Report) {
+    Engine.m_NextReport = Now + ReportRetryDelay;
+    return;
+  }
+  if (Engine.recordStart(Report->m_StartTime, Now))
+    countLateOrders(Id, Engine, Now);
+  if (!Engine.isCurrent(Report->m_StartTime))
+    return;
+  if (Engine.recordReport(*Report, Now, AskedAt))
+    countLateOrders(Id, Engine, Now);
+  settleLoad(Id, Engine, Now);
+  if (const auto Entry = m_State.m_Upstreams.list().m_Instances.find(Id);
+      Entry != m_State.m_Upstreams.list().m_Instances.end())
+    if (const EngineSpec *Spec = specOf(Entry->second.m_Service))
+      advance(Id, Engine, *Spec, Now);
+  publishChange(Id, Engine);
+}
+
+void OrderLeader::advanceTasks(TimePoint Now) {
+  for (auto &[Id, Each] : m_Engines) {
+    const auto Entry = m_State.m_Upstreams.list().m_Instances.find(Id);
+    if (Entry == m_State.m_Upstreams.list().m_Instances.end())
+      continue;
+    if (const EngineSpec *Spec = specOf(Entry->second.m_Service))
+      advance(Id, Each, *Spec, Now);
+    Each.m_Ledger.expireLateOrders(Now);
+    Each.expectOverdue(Now);
+  }
+}
+
+void OrderLeader::advance(const InstanceId &Id, ManagedEngine &Engine,
+                          const EngineSpec &Spec, TimePoint Now) {
+  if (const auto Again = Engine.m_Ledger.resend(Now)) {
+    sendOrder(Id, Engine, *Again, LoadSource::Disk, Now);
+    return;
+  }
+  const bool Unloading =
+      Engine.m_Task && Engine.m_Task->m_Phase != EngineTask::Phase::Loading;
+  if (Unloading && !Engine.m_Ledger.acceptedModelOrder() &&
+      Now - Engine.m_Task->m_Since > UnloadTimeout)
+    Engine.m_Task.reset();
+  if (!Engine.m_Task)
+    return;
+  if (!Engine.m_Ledger.idle()) {
+    // Counted as a coming replica, the move would keep other engines from
+    // loading the model.
+    if (!Engine.m_Ledger.acceptedModelOrder() &&
+        Now - Engine.m_Task->m_Since > BeginTimeout)
+      Engine.m_Task.reset();
+    return;
+  }
+  EngineTask &Current = *Engine.m_Task;
+  const PlannedMove &Move = Current.m_Move;
+  if (Current.m_Phase == EngineTask::Phase::Retiring) {
+    if (Now - Current.m_Since < RetireNotice)
+      return;
+    Current.m_Phase = EngineTask::Phase::Unloading;
+    Current.m_Since = Now;
+  }
+  if (Current.m_Phase == EngineTask::Phase::Unloading) {
+    if (Engine.m_Ledger.holds(Move.m_Evict)) {
+      sendOrder(Id, Engine,
+                {.m_Load = false, .m_Model = Move.m_Evict, .m_Adapter = {}},
+                LoadSource::Disk, Now);
+      return;
+    }
+    Current.m_Phase = EngineTask::Phase::Loading;
+    Current.m_Since = Now;
+  }
+  if (Move.m_Load.empty()) {
+    Engine.m_Task.reset();
+    return;
+  }
+  if (Engine.m_Ledger.holds(Move.m_Load)) {
+    Engine.m_ModelLoadedAt[Move.m_Load] = Now;
+    Engine.m_Task.reset();
+    if (const auto Slowness = Engine.recordLoadEnd(Now))
+      m_StoreSlowness.observe(*Slowness);
+    return;
+  }
+  const LoadSource Source = nearestSource(
+      Engine.m_Ledger.inMemory(), Engine.m_Ledger.onDisk(), Move.m_Load);
+  const ResidencyOrder Load{
+      .m_Load = true, .m_Model = Move.m_Load, .m_Adapter = {}};
+  if (!Engine.m_Ledger.allows(Load, Spec)) {
+    // The engine holds something other than the plan assumed.
+    if (!Engine.m_Ledger.needsReport())
+      Engine.m_Task.reset();
+    return;
+  }
+  sendOrder(Id, Engine, Load, Source, Now);
+}
+
+bool OrderLeader::sendOrder(const InstanceId &Id, ManagedEngine &To,
+                            const ResidencyOrder &Order, LoadSource Source,
+                            TimePoint) {
+  const auto Entry = m_State.m_Upstreams.list().m_Instances.find(Id);
+  const TimePoint Now = EventLoop::now();
+  if (Entry == m_State.m_Upstreams.list().m_Instances.end() || !mayOrder(Now))
+    return false;
+  const EngineSpec *Spec = specOf(Entry->second.m_Service);
+  if (Spec == nullptr || !To.m_Ledger.allows(Order, *Spec))
+    return false;
+  if (Order.m_Load && m_State.m_Upstreams.evacuated(Entry->second))
+    return false;
+  const bool FromStore =
+      Order.m_Load && Order.m_Adapter.empty() && Source == LoadSource::Store;
+  if (FromStore) {
+    if (m_Ceiling.available(Now) == 0)
+      return false;
+    m_Ceiling.onOrdered(Id);
+  }
+  const OrderStamp Stamp{.m_Leader = m_Opts.m_Election.m_Machine,
+                         .m_FencingToken = m_Election.token(),
+                         .m_ExpectedCount = To.m_Ledger.begin(Order, Now)};
+  m_Log.write("order",
+              {{"engine", Id},
+               {"load", Order.m_Load},
+               {"model", Order.m_Model},
+               {"adapter", Order.m_Adapter},
+               {"source", sourceName(Source)},
+               {"expected_count", Stamp.m_ExpectedCount},
+               {"token", m_Election.token()},
+               {"reason",
+                To.m_Task ? reasonName(To.m_Task->m_Move.m_Reason) : "adapter"},
+               {"gain", To.m_Task ? To.m_Task->m_Move.m_Gain : 0}});
+  m_Control.order(Entry->second, Order, Stamp,
+                  [this, Id, Order, Source, Token = m_Election.token(),
+                   Born = To.m_StartTime](OrderAnswer Answer) {
+                    if (leading() && Token == m_Election.token())
+                      onOrderAnswered({.m_Id = Id, .m_StartTime = Born}, Order,
+                                      Source, Answer);
+                  });
+  return true;
+}
+
+/// Settles a load in the bound on loads: once the engine has answered and
+/// reported, the load has started or never will.
+void OrderLeader::settleLoad(const InstanceId &Id, const ManagedEngine &Engine,
+                             TimePoint Now) {
+  if (!Engine.m_Ledger.uncertain() && !Engine.m_Ledger.awaitsAnswer())
+    m_Ceiling.onSettled(Id, Now);
+}
+
+void OrderLeader::onOrderAnswered(const UpstreamIncarnation &Instance,
+                                  const ResidencyOrder &Order,
+                                  LoadSource Source, OrderAnswer Answer) {
+  const InstanceId &Id = Instance.m_Id;
+  const TimePoint Now = EventLoop::now();
+  m_Hooks.m_OrderAnswered(Order.m_Load ? "load" : "unload", answerName(Answer));
+  if (Answer != OrderAnswer::Accepted)
+    m_Log.write("order_answer", {{"engine", Id},
+                                 {"load", Order.m_Load},
+                                 {"model", Order.m_Model},
+                                 {"adapter", Order.m_Adapter},
+                                 {"answer", answerName(Answer)}});
+  const auto Match = m_Engines.find(Id);
+  // Whatever an earlier incarnation answered, its orders already count as late.
+  if (Match == m_Engines.end() ||
+      !Match->second.isCurrent(Instance.m_StartTime))
+    return;
+  ManagedEngine &Engine = Match->second;
+  Engine.m_Ledger.recordAnswer(Answer, Now);
+  const bool ModelLoad = Order.m_Load && Order.m_Adapter.empty();
+  settleLoad(Id, Engine, Now);
+  Engine.m_NextReport = Now + UnloadTime;
+  if (Answer == OrderAnswer::Accepted) {
+    const auto Entry = m_State.m_Upstreams.list().m_Instances.find(Id);
+    const EngineSpec *Spec =
+        Entry == m_State.m_Upstreams.list().m_Instances.end()
+            ? nullptr
+            : specOf(Entry->second.m_Service);
+    if (ModelLoad && Spec != nullptr) {
+      const Duration Nominal = loadTime(Spec->model(Order.m_Model), Source);
+      Engine.recordLoadStart(Source, Nominal, m_StoreSlowness.factor(), Now);
+      Engine.m_NextReport = Now + Nominal;
+    }
+    if (!Order.m_Adapter.empty()) {
+      Engine.m_AdapterOrderedAt[{Order.m_Model, Order.m_Adapter}] = Now;
+      Engine.m_LastAdapterOrderAt = Now;
+      Engine.m_NextReport = Now + ReportInterval;
+    }
+  }
+  tickSoon(!Order.m_Adapter.empty());
+}
+
+bool OrderLeader::mayPlan(TimePoint Now) const {
+  // Engines that start together are listed one after the other.
+  return mayOrder(Now) && m_State.hasRequiredState() &&
+         Now - m_EnginesAddedAt >= SettleTime;
+}
+
+/// Plans only the adapters that requests wait for, which load in some
+/// milliseconds.
+void OrderLeader::planAwaited(TimePoint Now) {
+  if (!mayPlan(Now))
+    return;
+  AdapterOptions Awaited = m_Opts.m_Adapters;
+  Awaited.m_Copies = false;
+  for (const ServiceSpec &Service : m_State.m_Config->m_Services)
+    if (Service.m_Engine)
+      planAdapterMoves(Service.m_Name, *Service.m_Engine, Awaited, Now);
+}
+
+void OrderLeader::plan(TimePoint Now) {
+  std::erase_if(m_Missing, [&](const auto &Each) {
+    return Now - Each.second.m_Last > MissingRetention ||
+           resident(Each.first.m_Model, Each.first.m_Adapter);
+  });
+  if (!mayPlan(Now))
+    return;
+  countPredecessorLoads(Now);
+  seedDemandFromReplicas(Now);
+  for (const ServiceSpec &Service : m_State.m_Config->m_Services)
+    if (Service.m_Engine) {
+      planModels(Service.m_Name, *Service.m_Engine, Now);
+      planAdapterMoves(Service.m_Name, *Service.m_Engine, m_Opts.m_Adapters,
+                       Now);
+    }
+}
+
+std::map<AdapterKey, double>
+OrderLeader::adapterRates(const std::string &Service, TimePoint Now) const {
+  std::map<AdapterKey, double> Result;
+  for (const auto &[Key, Rate] : m_Rates.rates(Now))
+    if (Key.m_Service == Service && !Key.m_Adapter.empty())
+      Result[{Key.m_Model, Key.m_Adapter}] = Rate.m_Requests;
+  return Result;
+}
+
+/// Derives usual demand from replicas beyond the first before any demand is
+/// known: the operators or a former leader placed them where they expected it.
+void OrderLeader::seedDemandFromReplicas(TimePoint Now) {
+  if (std::exchange(m_DemandSeeded, true))
+    return;
+  std::map<ModelKey, std::size_t> Replicas;
+  for (const auto &[Id, Each] : m_Engines) {
+    const UpstreamInstance &Entry = entryOf(Id);
+    for (const ResidentModel &Model :
+         Each.m_Ledger.known() ? Each.m_Ledger.models() : Entry.m_Models)
+      ++Replicas[{Entry.m_Service, Model.m_Name, ""}];
+  }
+  for (const auto &[Key, Count] : Replicas)
+    if (Count > 1)
+      m_Rates.expect(
+          Key,
+          {.m_WorkMs = SpareReplicaWorkMs * static_cast<double>(Count - 1)},
+          Now);
+}
+
+/// Determines how many loads of the former leader count against the bound on
+/// loads. A load from the store that takes longer than the bound's window is
+/// still in progress at the window's end, so once all engines have reported,
+/// only the loads in progress count.
+void OrderLeader::countPredecessorLoads(TimePoint Now) {
+  if (!m_Ceiling.assumesFullWindow())
+    return;
+  const auto Shortest = m_State.m_Config->shortestStoreLoad();
+  if (!Shortest || Now < m_PredecessorOrdersUntil +
+                             m_Opts.m_Bounds.m_CeilingWindow - *Shortest)
+    return;
+  const auto InProgress = static_cast<std::size_t>(
+      std::count_if(m_Engines.begin(), m_Engines.end(), [](const auto &Each) {
+        const EngineLedger &Ledger = Each.second.m_Ledger;
+        return !Ledger.known() || Ledger.acceptedModelOrder();
+      }));
+  m_Ceiling.setFormerLoads(InProgress, Now);
+  m_Log.write("former_loads",
+              {{"under_way", InProgress}, {"engines", m_Engines.size()}});
+}
+
+PlannerInput OrderLeader::plannerInput(const std::string &Service,
+                                       TimePoint Now) {
+  PlannerInput Input;
+  Input.m_StoreLoads = m_Ceiling.available(Now);
+  Input.m_StoreSlowness = m_StoreSlowness.factor();
+  ModelDemand All;
+  for (const auto &[Key, Rate] : m_Rates.rates(Now))
+    if (Key.m_Service == Service && Key.m_Adapter.empty()) {
+      Input.m_Demand[Key.m_Model] = Rate.m_WorkMs / 1000;
+      All += Rate;
+    }
+  for (const auto &[Key, Rate] : m_Rates.baseline(Now))
+    if (Key.m_Service == Service)
+      Input.m_Usual[Key.m_Model] = Rate.m_WorkMs / 1000;
+  for (const auto &[Key, Since] : m_Missing)
+    if (Key.m_Service == Service)
+      Input.m_Awaited.insert(Key.m_Model);
+  for (const auto &[Id, Each] : m_Engines) {
+    const UpstreamInstance &Entry = entryOf(Id);
+    if (Entry.m_Service != Service)
+      continue;
+    double Slowness = m_State.m_Latency.slowness(Id);
+    if (const AdvertisedLimit *Limit = m_State.m_Signals.limit(Id);
+        Limit != nullptr && All.m_Requests > 0)
+      Slowness /=
+          busyFraction(Limit->m_RatePerSecond, All.m_WorkMs / All.m_Requests);
+    Input.m_Engines.push_back(
+        Each.modelPlanEntry(Entry, Slowness, m_Opts.m_MinReplicaStay, Now));
+    Input.m_Engines.back().m_Leaving = m_State.m_Upstreams.isLeaving(Entry);
+  }
+  return Input;
+}
+
+void OrderLeader::planModels(const std::string &Service, const EngineSpec &Spec,
+                             TimePoint Now) {
+  m_Ceiling.configure({.m_LoadsPerSecond = Spec.m_LoadsPerSecond,
+                       .m_Window = m_Opts.m_Bounds.m_CeilingWindow,
+                       .m_Overage = m_Opts.m_Bounds.m_CeilingOverage});
+  PlannerInput Input = plannerInput(Service, Now);
+  m_ShortageLog.log(Input, replicas(), Now);
+  for (const PlannedMove &Move :
+       planReplicas(Input, Spec, m_Opts.m_Planner, MaxMovesPerPlan)) {
+    ManagedEngine &At = m_Engines.at(Move.m_Engine);
+    At.begin(Move, Now);
+    m_Log.write(
+        "move",
+        {{"engine", Move.m_Engine},
+         {"evict", Move.m_Evict},
+         {"load", Move.m_Load},
+         {"source", sourceName(Move.m_Source)},
+         {"reason", reasonName(Move.m_Reason)},
+         {"gain", Move.m_Gain},
+         {"demand",
+          Input.m_Demand[Move.m_Load.empty() ? Move.m_Evict : Move.m_Load]}});
+    advance(Move.m_Engine, At, Spec, Now);
+  }
+}
+
+/// Returns the share of an engine's time that each replica of a model takes.
+std::map<std::string, double>
+OrderLeader::replicaShares(const std::string &Service, TimePoint Now) const {
+  std::map<std::string, double> Result;
+  for (const auto &[Model, Count] : replicas()) {
+    const ModelDemand Rate = m_Rates.rate({Service, Model, ""}, Now);
+    Result[Model] = Rate.m_WorkMs / 1000 / static_cast<double>(Count);
+  }
+  return Result;
+}
+
+bool OrderLeader::evacuated(const InstanceId &Id) const {
+  const ServingView &View = m_State.m_Upstreams;
+  const auto Entry = View.list().m_Instances.find(Id);
+  return Entry != View.list().m_Instances.end() &&
+         View.evacuated(Entry->second);
+}
+
+bool OrderLeader::resident(const std::string &Model,
+                           const std::string &Adapter) const {
+  return std::any_of(m_Engines.begin(), m_Engines.end(), [&](const auto &Each) {
+    return Each.second.m_Ledger.holds(Model, Adapter) && !evacuated(Each.first);
+  });
+}
+
+std::map<std::string, std::size_t> OrderLeader::replicas() const {
+  std::map<std::string, std::size_t> Result;
+  for (const auto &[Id, Each] : m_Engines)
+    if (!evacuated(Id))
+      for (const ResidentModel &Model : Each.m_Ledger.models())
+        ++Result[Model.m_Name];
+  return Result;
+}
+
+void OrderLeader::planAdapterMoves(const std::string &Service,
+                                   const EngineSpec &Spec,
+                                   const AdapterOptions &Opts, TimePoint Now) {
+  const std::map<std::string, double> Shares = replicaShares(Service, Now);
+  std::vector<AdapterEngine> Engines;
+  for (const auto &[Id, Each] : m_Engines) {
+    const UpstreamInstance &Entry = entryOf(Id);
+    if (Entry.m_Service != Service || m_State.m_Upstreams.isLeaving(Entry) ||
+        !Each.m_Ledger.known())
+      continue;
+    double Busy = 0;
+    for (const ResidentModel &Model : Each.m_Ledger.models())
+      Busy += Shares.at(Model.m_Name);
+    Engines.push_back(
+        Each.adapterPlanEntry(Id, Busy, m_Opts.m_MinAdapterStay, Now));
+  }
+  std::vector<std::pair<TimePoint, AdapterKey>> Waiting;
+  for (const auto &[Key, Since] : m_Missing)
+    if (Key.m_Service == Service && !Key.m_Adapter.empty())
+      Waiting.push_back({Since.m_Since, {Key.m_Model, Key.m_Adapter}});
+  std::sort(Waiting.begin(), Waiting.end());
+  std::vector<AdapterKey> Missing;
+  for (const auto &[Since, Key] : Waiting)
+    Missing.push_back(Key);
+  for (const AdapterMove &Move :
+       planAdapters(Engines, Missing, adapterRates(Service, Now), Spec, Opts))
+    sendOrder(Move.m_Engine, m_Engines.at(Move.m_Engine), Move.m_Order,
+              LoadSource::Disk, Now);
+}
+
+FleetContentsFrame OrderLeader::contents() const {
+  FleetContentsFrame Frame{.m_FencingToken = m_Election.token(),
+                           .m_Engines = {}};
+  const TimePoint Now = EventLoop::now();
+  for (const auto &[Id, Each] : m_Engines)
+    if (leading() && Each.m_Ledger.known() &&
+        Each.differsFrom(entryOf(Id), Now))
+      Frame.m_Engines.push_back(Each.contents(Id, Now));
+  return Frame;
+}
+
+/// Returns the list's entry of an engine, which always exists: engines that are
+/// not listed are not kept.
+const UpstreamInstance &OrderLeader::entryOf(const InstanceId &Id) const {
+  return m_State.m_Upstreams.list().m_Instances.at(Id);
+}
+
+void OrderLeader::takeUpdate(const InstanceId &Id, ManagedEngine &Engine,
+                             TimePoint Now, FleetContentsFrame &Frame) {
+  if (!Engine.m_Ledger.known())
+    return;
+  if (auto Update = Engine.takeUpdate(entryOf(Id), Now))
+    Frame.m_Engines.push_back(std::move(*Update));
+}
+
+void OrderLeader::publishChanges() {
+  const TimePoint Now = EventLoop::now();
+  FleetContentsFrame Frame{.m_FencingToken = m_Election.token(),
+                           .m_Engines = {}};
+  for (auto &[Id, Each] : m_Engines)
+    takeUpdate(Id, Each, Now, Frame);
+  if (!Frame.m_Engines.empty())
+    m_Hooks.m_ContentsChanged(Frame);
+}
+
+/// Publishes the change of one engine. Reports come by the hundred: checking
+/// all engines for each would leave a new leader no time for anything else.
+void OrderLeader::publishChange(const InstanceId &Id, ManagedEngine &Engine) {
+  FleetContentsFrame Frame{.m_FencingToken = m_Election.token(),
+                           .m_Engines = {}};
+  takeUpdate(Id, Engine, EventLoop::now(), Frame);
+  if (!Frame.m_Engines.empty())
+    m_Hooks.m_ContentsChanged(Frame);
+}
+
+} // namespace havenstair
--- /dev/null
+++ b/packages/gateway/process/OrderLeader.h
@@ -0,0 +1,192 @@
+/// \file
+/// Sends orders to all engines, on one box at a time, the leader.
+#ifndef HAVENSTAIR_GATEWAY_PROCESS_ORDERLEADER_H
+#define HAVENSTAIR_GATEWAY_PROCESS_ORDERLEADER_H
+
+#include "decisions/process/DemandRates.h"
+#include "decisions/process/LoadRateLimiter.h"
+#include "decisions/process/ReplicaPlanner.h"
+#include "decisions/process/StoreSlowness.h"
+#include "gateway/process/EngineControl.h"
+#include "gateway/process/GatewayOptions.h"
+#include "gateway/process/LeaderElection.h"
+#include "gateway/process/ManagedEngine.h"
+#include "gateway/process/ServingState.h"
+#include "gateway/process/ShortageLog.h"
+#include "wire/common/EventLoop.h"
+#include "wire/connection/FleetFrames.h"
+#include <functional>
+#include <map>
+#include <memory>
+#include <optional>
+#include <set>
+#include <string>
+
+namespace havenstair {
+
+class DecisionLog;
+
+/// While this box is the leader, plans replicas and adapters from demand and
+/// carries the plan out, one order at a time on each engine. See
+/// docs/design/orders.md.
+class OrderLeader {
+public:
+  struct Options {
+    LeaderElection::Options m_Election;
+    ServingBounds m_Bounds;
+    PlannerOptions m_Planner;
+    /// Shortest time that a replica stays, and an adapter.
+    Duration m_MinReplicaStay = 6s;
+    Duration m_MinAdapterStay = 400ms;
+    AdapterOptions m_Adapters;
+    DemandRates::Options m_Rates;
+  };
+  struct Hooks {
+    /// Contents of engines have changed; all boxes are to be told.
+    std::function<void(const FleetContentsFrame &)> m_ContentsChanged;
+    /// An engine has answered an order; for metrics.
+    std::function<void(std::string_view Operation, std::string_view Answer)>
+        m_OrderAnswered;
+    /// Returns as of when the store's keys, the leader's among them, are known.
+    std::function<TimePoint()> m_KeysReadAt;
+    std::function<double()> m_Random; ///< Returns a random number from 0 to 1.
+  };
+
+  OrderLeader(EventLoop &Loop, CoordinationStore &Store, EngineControl &Engines,
+              ServingState &State, DecisionLog &Log, Options Opts,
+              Hooks Callbacks);
+  ~OrderLeader();
+  OrderLeader(const OrderLeader &) = delete;
+  OrderLeader &operator=(const OrderLeader &) = delete;
+
+  /// The store's keys have changed; \p Items are all keys under the prefix.
+  void entriesChanged(const std::map<std::string, StoreItem> &Items) {
+    m_Election.entriesChanged(Items);
+  }
+  /// The list of upstreams has changed.
+  void upstreamsChanged();
+  /// Data centres are evacuated, or returned to service at \p Now.
+  void evacuationsChanged(TimePoint Now);
+  /// Adds demand of this box or another one.
+  void addDemand(const ModelDemands &Demand);
+  /// Requests wait for models or adapters that no engine holds.
+  void addMissing(const std::vector<ModelKey> &Keys);
+  /// Replaces the bounds that the operators set.
+  void setBounds(const ServingBounds &Bounds);
+
+  /// Records which leader another box knows; see LeaderElection.
+  void recordPeerView(const BoxName &From, const LeaderTerm &Leader,
+                      bool Giving, TimePoint SaidAfter) {
+    m_Election.recordPeerView(From, Leader, Giving, SaidAfter);
+  }
+  /// Sets the other boxes whose majority decides who leads, and whether this
+  /// box may lead.
+  void setVoters(std::set<BoxName> Others, bool Eligible);
+  /// The link to \p Box is gone.
+  void boxLost(const BoxName &Box) { m_Election.boxLost(Box); }
+
+  /// The newest leader that this box knows.
+  const LeaderTerm &leader() const { return m_Election.leader(); }
+  /// Whether this box leads, as far as it knows.
+  bool leading() const { return m_Election.leading(); }
+  /// Contents of all engines that differ from the list, for a box that has just
+  /// been linked; without engines unless this box leads.
+  FleetContentsFrame contents() const;
+  /// Gives up the key and stops for good.
+  void resign();
+
+private:
+  /// A model or adapter that requests wait for: when it was first and last
+  /// requested.
+  struct MissingKey {
+    TimePoint m_Since{};
+    TimePoint m_Last{};
+  };
+  void onElected(const LeaderElection::Predecessor &Before);
+  void onDeposed();
+  void tick();
+  void tickLater();
+  void tickSoon(bool Plan);
+  bool mayOrder(TimePoint Now) const;
+
+  const EngineSpec *specOf(const std::string &Service) const;
+  void refreshEngines(TimePoint Now);
+  void keepCopiesAfterReturn(TimePoint Now);
+  void countLateOrders(const InstanceId &Id, ManagedEngine &Engine,
+                       TimePoint Now);
+  void askReports(TimePoint Now);
+  void askReport(const InstanceId &Id, ManagedEngine &Engine, TimePoint Now);
+  void onReport(const InstanceId &Id,
+                const std::optional<ResidencyReport> &Report,
+                TimePoint AskedAt);
+  void advanceTasks(TimePoint Now);
+  void advance(const InstanceId &Id, ManagedEngine &Engine,
+               const EngineSpec &Spec, TimePoint Now);
+  bool mayPlan(TimePoint Now) const;
+  void planAwaited(TimePoint Now);
+  void plan(TimePoint Now);
+  void countPredecessorLoads(TimePoint Now);
+  void seedDemandFromReplicas(TimePoint Now);
+  PlannerInput plannerInput(const std::string &Service, TimePoint Now);
+  void planModels(const std::string &Service, const EngineSpec &Spec,
+                  TimePoint Now);
+  void planAdapterMoves(const std::string &Service, const EngineSpec &Spec,
+                        const AdapterOptions &Opts, TimePoint Now);
+  std::map<AdapterKey, double> adapterRates(const std::string &Service,
+                                            TimePoint Now) const;
+  bool sendOrder(const InstanceId &Id, ManagedEngine &To,
+                 const ResidencyOrder &Order, LoadSource Source, TimePoint Now);
+  void onOrderAnswered(const UpstreamIncarnation &Instance,
+                       const ResidencyOrder &Order, LoadSource Source,
+                       OrderAnswer Answer);
+  void settleLoad(const InstanceId &Id, const ManagedEngine &Engine,
+                  TimePoint Now);
+  const UpstreamInstance &entryOf(const InstanceId &Id) const;
+  void takeUpdate(const InstanceId &Id, ManagedEngine &Engine, TimePoint Now,
+                  FleetContentsFrame &Frame);
+  void publishChanges();
+  void publishChange(const InstanceId &Id, ManagedEngine &Engine);
+  std::map<std::string, double> replicaShares(const std::string &Service,
+                                              TimePoint Now) const;
+  bool evacuated(const InstanceId &Id) const;
+  bool resident(const std::string &Model, const std::string &Adapter) const;
+  /// Number of engines that hold each model, evacuated ones left out.
+  std::map<std::string, std::size_t> replicas() const;
+
+  EventLoop &m_Loop;
+  EngineControl &m_Control;
+  ServingState &m_State;
+  DecisionLog &m_Log;
+  Options m_Opts;
+  Hooks m_Hooks;
+  DemandRates m_Rates;
+  LeaderElection m_Election;
+  bool m_Resigned = false;
+  /// Whether usual demand was derived from the replicas.
+  bool m_DemandSeeded = false;
+  TimePoint m_EarliestOrder{}; ///< No order is sent earlier.
+  TimePoint m_NextPlan{};
+  TimePoint m_EarliestPlan{}; ///< No whole plan before, whatever waits.
+  /// The same for the plan of awaited adapters.
+  TimePoint m_EarliestAwaitedPlan{};
+  bool m_AwaitedPlanDue = false;
+  TimePoint m_ClaimedAt{};
+  /// Until when the leader before this one may have sent orders.
+  TimePoint m_PredecessorOrdersUntil{};
+  /// When engines last returned to the list, or were listed at the start.
+  TimePoint m_EnginesAddedAt{};
+  /// Orders that engines which left the list may still carry out.
+  std::map<InstanceId, LateOrders> m_DelistedEngines;
+  std::map<InstanceId, ManagedEngine> m_Engines;
+  std::map<ModelKey, MissingKey> m_Missing;
+  LoadRateLimiter m_Ceiling;
+  ShortageLog m_ShortageLog;
+  StoreSlowness m_StoreSlowness;
+  Timer m_Timer;
+  Timer m_SoonTimer;
+  bool m_TickSoon = false;
+};
+
+} // namespace havenstair
+
+#endif
--- a/packages/gateway/process/UpstreamRegistry.cpp
+++ b/packages/gateway/process/UpstreamRegistry.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-InstanceList listOf(const UpstreamSubset::Selection &Of,
+InstanceList listOf(const UpstreamSubset::Selection &Upstreams,
                     StoreRevision Revision) {
   InstanceList Result{.m_Revision = Revision, .m_Instances = {}};
-  for (const UpstreamInstance *Each : Of)
+  for (const UpstreamInstance *Each : Upstreams)
     Result.m_Instances.emplace(Each->m_Id, *Each);
   return Result;
 }
@@ -20,33 +20,34 @@
   Decoded Result{.m_Revision = Item.m_Revision, .m_Instance = {}};
   try {
     Result.m_Instance = m_Decode(Item.m_Key, Item.m_Value);
-    Result.m_Good = true;
+    Result.m_Valid = true;
   } catch (const DecodeError &Error) {
     m_Log.write("bad_upstream", {{"key", Item.m_Key}, {"why", Error.what()}});
   }
   return Result;
 }
 
-/// Both are in the order of their keys; what is the same stays in its place.
+/// Merges two sequences that are sorted by key; entries of an unchanged
+/// revision are kept.
 void UpstreamRegistry::update(const std::map<std::string, StoreItem> &Items) {
-  auto Known = m_Known.begin();
+  auto Entry = m_Entries.begin();
   for (const auto &[Key, Item] : Items) {
-    while (Known != m_Known.end() && Known->first < Key)
-      Known = m_Known.erase(Known);
-    if (Known == m_Known.end() || Known->first != Key)
-      Known = m_Known.emplace_hint(Known, Key, decode(Item));
-    else if (Known->second.m_Revision != Item.m_Revision)
-      Known->second = decode(Item);
-    ++Known;
+    while (Entry != m_Entries.end() && Entry->first < Key)
+      Entry = m_Entries.erase(Entry);
+    if (Entry == m_Entries.end() || Entry->first != Key)
+      Entry = m_Entries.emplace_hint(Entry, Key, decode(Item));
+    else if (Entry->second.m_Revision != Item.m_Revision)
+      Entry->second = decode(Item);
+    ++Entry;
   }
-  m_Known.erase(Known, m_Known.end());
+  m_Entries.erase(Entry, m_Entries.end());
 }
 
-std::vector<const UpstreamInstance *> UpstreamRegistry::good() const {
+std::vector<const UpstreamInstance *> UpstreamRegistry::validEntries() const {
   std::vector<const UpstreamInstance *> Result;
-  Result.reserve(m_Known.size());
-  for (const auto &[Key, Entry] : m_Known)
-    if (Entry.m_Good)
+  Result.reserve(m_Entries.size());
+  for (const auto &[Key, Entry] : m_Entries)
+    if (Entry.m_Valid)
       Result.push_back(&Entry.m_Instance);
   return Result;
 }
@@ -55,16 +56,16 @@
 UpstreamRegistry::read(const std::map<std::string, StoreItem> &Items,
                        StoreRevision Revision, const DataCentreMap &Map) {
   update(Items);
-  m_Shortlist = UpstreamSubset(good(), Map);
-  return listOf(m_Shortlist.forAll(), Revision);
+  m_Subset = UpstreamSubset(validEntries(), Map);
+  return listOf(m_Subset.forAll(), Revision);
 }
 
 InstanceList
-UpstreamRegistry::readShortlist(const std::map<std::string, StoreItem> &Items,
-                                StoreRevision Revision) {
-  m_Shortlist = UpstreamSubset();
+UpstreamRegistry::readSubset(const std::map<std::string, StoreItem> &Items,
+                             StoreRevision Revision) {
+  m_Subset = UpstreamSubset();
   update(Items);
-  return listOf(good(), Revision);
+  return listOf(validEntries(), Revision);
 }
 
 } // namespace havenstair
--- a/packages/gateway/request/Forwarder.cpp
+++ b/packages/gateway/request/Forwarder.cpp
@@ -69,7 +69,7 @@
   StartupQueue::Item Item{.m_Exchange = Exchange,
                           .m_Request = std::move(Request),
                           .m_Arrived = EventLoop::now()};
-  if (m_State.knowsAll())
+  if (m_State.hasRequiredState())
     begin(std::move(Item));
   else
     keepOrRefuse(Item);
@@ -101,16 +101,16 @@
 
 void Forwarder::releaseStartupQueue() {
   if (m_StartupQueue.size() == 0 ||
-      (!m_State.knowsAll() && !m_State.m_Stopping))
+      (!m_State.hasRequiredState() && !m_State.m_Stopping))
     return;
   m_StartupTimer = Timer();
   std::vector<StartupQueue::Item> Kept = m_StartupQueue.takeAll();
-  m_Log.write("early_requests",
-              {{"requests", Kept.size()}, {"known", m_State.knowsAll()}});
+  m_Log.write("early_requests", {{"requests", Kept.size()},
+                                 {"known", m_State.hasRequiredState()}});
   for (StartupQueue::Item &Item : Kept) {
     if (!Item.m_Exchange->open())
       continue;
-    if (m_State.knowsAll())
+    if (m_State.hasRequiredState())
       begin(std::move(Item));
     else
       keepOrRefuse(Item);
--- a/packages/gateway/request/ProxiedRequest.cpp
+++ b/packages/gateway/request/ProxiedRequest.cpp
@@ -126,7 +126,7 @@
     return wait(*HoldTime);
   const auto Excluded = [&](const InstanceId &Id) {
     return m_Tried.contains(Id) || m_Permit.excludes(Id, Now) ||
-           State.m_Words.retryAt(Id, Now);
+           State.m_Signals.retryAt(Id, Now);
   };
   auto Candidates = eligibility().candidates(Excluded, Now);
   m_Crashes.narrowCandidates(Candidates, m_MayHaveRun, Now);
@@ -210,7 +210,7 @@
     return false;
   const auto ExcludeNone = [](const InstanceId &) { return false; };
   const auto Refusal = refuseForRetryAfter(
-      eligibility().candidates(ExcludeNone, Now), m_Owner.m_State.m_Words,
+      eligibility().candidates(ExcludeNone, Now), m_Owner.m_State.m_Signals,
       m_Owner.m_Hooks.m_Random(), Now);
   const auto ServesAt = eligibility().servesAt(Now);
   if (!Refusal || (ServesAt && *ServesAt < Now + Refusal->m_After))
--- a/tests/gateway/CrashTest.cpp
+++ b/tests/gateway/CrashTest.cpp
@@ -443,7 +443,7 @@
           "[gateway][crash]") {
   CrashTest Test(2, 5);
   for (const auto &[Id, Runner] : Test.m_Runners)
-    Test.listBorn(Id, 1000);
+    Test.listStarted(Id, 1000);
   REQUIRE(Test.until([&] {
     return std::all_of(
         Test.m_Boxes.begin(), Test.m_Boxes.end(), [](const auto &Box) {
@@ -465,7 +465,7 @@
     Crashed.clear();
     REQUIRE(Test.attempt("/unsafe/x", CrashTest::CrashingBody).m_Status == 502);
     REQUIRE_FALSE(Crashed.empty());
-    Test.listBorn(Crashed, ++Born);
+    Test.listStarted(Crashed, ++Born);
     const auto Knows = [&](const auto &Box) {
       return Box->state().m_Crashes.crashCount(
                  CrashTest::digest(CrashTest::CrashingBody, "/unsafe/x"),
--- a/tests/gateway/FleetTest.cpp
+++ b/tests/gateway/FleetTest.cpp
@@ -7,12 +7,12 @@
 using Request = StandinRunner::Request;
 using ConnectionPtr = StandinRunner::ConnectionPtr;
 
-/// Two boxes before one store.
+/// Two boxes that share one store.
 class FleetTest : public GatewayTest {
 public:
   FleetTest() {
-    addRunner("i-1", [](const Request &Of, const ConnectionPtr &To) {
-      To->write(StandinRunner::answer(Of, 200, "body"));
+    addRunner("i-1", [](const Request &Received, const ConnectionPtr &To) {
+      To->write(StandinRunner::answer(Received, 200, "body"));
     });
     configure(1);
     startGateway();
@@ -25,9 +25,8 @@
     }));
   }
 
-  int givers() const {
-    return (m_Gateway->givesOrders() ? 1 : 0) +
-           (m_Other->givesOrders() ? 1 : 0);
+  int leaders() const {
+    return (m_Gateway->leading() ? 1 : 0) + (m_Other->leading() ? 1 : 0);
   }
 
   std::unique_ptr<Gateway> m_Other;
@@ -36,31 +35,31 @@
 
 } // namespace
 
-TEST_CASE("One box gives orders, and the other when that one leaves",
+TEST_CASE("One box leads, and the other takes over when that one leaves",
           "[gateway][fleet]") {
   FleetTest Test;
-  REQUIRE(Test.until([&] { return Test.givers() == 1; }));
-  const bool First = Test.m_Gateway->givesOrders();
+  REQUIRE(Test.until([&] { return Test.leaders() == 1; }));
+  const bool First = Test.m_Gateway->leading();
   (First ? Test.m_Gateway : Test.m_Other)->stop();
   REQUIRE(Test.until(
-      [&] { return (First ? Test.m_Other : Test.m_Gateway)->givesOrders(); }));
-  REQUIRE(Test.givers() == 1);
+      [&] { return (First ? Test.m_Other : Test.m_Gateway)->leading(); }));
+  REQUIRE(Test.leaders() == 1);
 }
 
-TEST_CASE("The order giver goes on while the store is away",
+TEST_CASE("The leader goes on while the store is unreachable",
           "[gateway][fleet]") {
   FleetTest Test;
-  REQUIRE(Test.until([&] { return Test.givers() == 1; }));
+  REQUIRE(Test.until([&] { return Test.leaders() == 1; }));
   const std::size_t Calls = Test.m_Store.calls();
   Test.m_Store.setFault(StandinStore::Fault::Refuses);
   REQUIRE(Test.until([&] { return Test.m_Store.calls() > Calls + 20; }));
-  REQUIRE(Test.givers() == 1);
+  REQUIRE(Test.leaders() == 1);
 }
 
-TEST_CASE("News of runners reaches a box that does not watch the list itself",
+TEST_CASE("A box that does not watch the list learns of new upstreams",
           "[gateway][fleet]") {
   FleetTest Test;
-  REQUIRE(Test.until([&] { return Test.givers() == 1; }));
+  REQUIRE(Test.until([&] { return Test.leaders() == 1; }));
   const auto Relayed = [&] {
     return Test.m_Gateway->watchesList() != Test.m_Other->watchesList();
   };
@@ -71,15 +70,15 @@
   };
   REQUIRE(Test.until(
       [&] { return Known(*Test.m_Gateway) && Known(*Test.m_Other); }));
-  SECTION("and is read from the store when the relay is gone") {
-    const bool First = Test.m_Gateway->givesOrders();
+  SECTION("and reads the store when the box that watches is gone") {
+    const bool First = Test.m_Gateway->leading();
     auto &Left = First ? Test.m_Other : Test.m_Gateway;
     (First ? Test.m_Gateway : Test.m_Other).reset();
     REQUIRE(Test.until([&] { return Left->watchesList(); }));
   }
 }
 
-TEST_CASE("A box whose watch of the configuration is dead hears from others",
+TEST_CASE("A box with a dead watch learns the configuration from others",
           "[gateway][fleet]") {
   FleetTest Test;
   REQUIRE(Test.until([&] { return Test.m_Store.silenceWatch("op/config"); }));
@@ -92,7 +91,7 @@
   }));
 }
 
-TEST_CASE("A box that hears no others finds a dead watch of the configuration",
+TEST_CASE("A box without peers detects a dead watch of the configuration",
           "[gateway][fleet]") {
   GatewayTest Test;
   Test.start();
@@ -102,13 +101,13 @@
       [&] { return Test.m_Gateway->state().m_Config->m_Version == 2; }));
 }
 
-TEST_CASE("An order giver that was replaced stops though its watch is dead",
+TEST_CASE("A leader that was replaced stops though its watch is dead",
           "[gateway][fleet]") {
   FleetTest Test;
-  REQUIRE(Test.until([&] { return Test.givers() == 1; }));
-  // Both boxes' watches are lost, and all links with them stay as they are.
+  REQUIRE(Test.until([&] { return Test.leaders() == 1; }));
+  // Both boxes' watches are lost, while all links stay up.
   REQUIRE(Test.until([&] { return Test.m_Store.silenceWatch("havenstair/"); }));
   Test.m_Store.silenceWatch("havenstair/");
   Test.m_Store.put("havenstair/giver", "somebody else");
-  REQUIRE(Test.until([&] { return Test.givers() == 0; }));
+  REQUIRE(Test.until([&] { return Test.leaders() == 0; }));
 }
--- a/tests/gateway/LargeFleetTest.cpp
+++ b/tests/gateway/LargeFleetTest.cpp
@@ -13,19 +13,19 @@
 using Request = StandinRunner::Request;
 using ConnectionPtr = StandinRunner::ConnectionPtr;
 
-/// More boxes than a full mesh is made for, before one store and one runner.
-/// Three of them are strong.
+/// More boxes than link to each other in a full mesh, with one store and one
+/// upstream. Three of them are strong.
 class LargeFleetTest : public GatewayTest {
 public:
   static constexpr std::size_t Boxes = 20;
   static constexpr std::size_t Strong = 3;
 
-  /// With \p Engines listed, three models on each, before the boxes start.
+  /// Lists \p Engines engines, three models on each, before the boxes start.
   explicit LargeFleetTest(int Engines = 0) {
     for (int Number = 0; Number < Engines; ++Number)
       listSilentEngine(Number);
-    addRunner("i-1", [](const Request &Of, const ConnectionPtr &To) {
-      To->write(StandinRunner::answer(Of, 200, "body"));
+    addRunner("i-1", [](const Request &Received, const ConnectionPtr &To) {
+      To->write(StandinRunner::answer(Received, 200, "body"));
     });
     configure(1);
     for (std::size_t Number = 0; Number < Boxes; ++Number)
@@ -40,7 +40,7 @@
     return BoxName("box-" + std::to_string(10 + Number));
   }
 
-  bool leafOnly(std::size_t Number) const { return Number >= Strong; }
+  bool isWeak(std::size_t Number) const { return Number >= Strong; }
 
   bool allServe(ConfigVersion Version) const {
     return std::all_of(m_Boxes.begin(), m_Boxes.end(), [&](const auto &Box) {
@@ -55,7 +55,7 @@
         }));
   }
 
-  /// An engine that nobody has to reach.
+  /// Lists an engine that no box has to reach.
   void listSilentEngine(int Number) {
     Json Models = Json::array();
     for (int Step = 0; Step < 3; ++Step)
@@ -73,7 +73,7 @@
                           {"modelList", std::move(Models)}}));
   }
 
-  /// Each leaf knows as much as it is to know of \p Listed entries.
+  /// Whether each leaf knows as much as it needs of \p Listed entries.
   bool leavesKnow(std::size_t Listed) const {
     return std::all_of(
         m_Boxes.begin() + Strong, m_Boxes.end(), [&](const auto &Box) {
@@ -83,7 +83,7 @@
         });
   }
 
-  /// Bytes that all boxes have sent in frames of \p Kind.
+  /// Total size in bytes of the frames of \p Kind that all boxes have sent.
   std::uint64_t bytes(std::string_view Kind) const {
     std::uint64_t Sum = 0;
     for (const auto &Box : m_Boxes)
@@ -102,7 +102,7 @@
   std::unique_ptr<Gateway> startBox(std::size_t Number) {
     GatewayOptions Options = options();
     Options.m_Box = nameOf(Number);
-    Options.m_Capacity = leafOnly(Number) ? 0.12 : 0.5;
+    Options.m_Capacity = isWeak(Number) ? 0.12 : 0.5;
     return makeGateway(Options, [] {});
   }
 };
@@ -112,18 +112,18 @@
 TEST_CASE("In a large fleet one box reads the list for all",
           "[gateway][fleet]") {
   LargeFleetTest Test;
-  const auto FindGiver = [&] {
+  const auto FindLeader = [&] {
     return std::find_if(
         Test.m_Boxes.begin(), Test.m_Boxes.end(),
-        [](const std::unique_ptr<Gateway> &Box) { return Box->givesOrders(); });
+        [](const std::unique_ptr<Gateway> &Box) { return Box->leading(); });
   };
   REQUIRE(Test.until([&] {
-    return FindGiver() != Test.m_Boxes.end() && Test.watching() == 1;
+    return FindLeader() != Test.m_Boxes.end() && Test.watching() == 1;
   }));
-  const auto Giver = FindGiver();
-  REQUIRE(Giver != Test.m_Boxes.end());
+  const auto Leader = FindLeader();
+  REQUIRE(Leader != Test.m_Boxes.end());
 
-  SECTION("news of runners reach every leaf") {
+  SECTION("changes of upstreams reach every leaf") {
     Test.addRunner("i-2", [](const Request &, const ConnectionPtr &) {});
     REQUIRE(Test.until([&] {
       return std::all_of(
@@ -132,24 +132,24 @@
           });
     }));
   }
-  SECTION("one box watches the configuration, and news of it reach all") {
+  SECTION("one box watches the configuration, and its changes reach all") {
     REQUIRE(Test.until([&] { return Test.m_Store.watches("op/config") == 1; }));
     Test.configure(2);
     REQUIRE(Test.until([&] { return Test.allServe(2); }));
     REQUIRE(Test.until([&] { return Test.m_Store.watches("op/config") == 1; }));
   }
-  SECTION("leaves have a new configuration from their relay") {
+  SECTION("leaves get a new configuration from their relay") {
     REQUIRE(Test.until([&] { return Test.m_Store.watches("op/config") == 1; }));
     const std::size_t Before = Test.m_Store.reads("op/config");
     Test.configure(2);
     REQUIRE(Test.until([&] { return Test.allServe(2); }));
-    // Relays read it themselves, stale and then current. Of leaves, one that
-    // gets no answer at once may, too.
+    // Relays read it themselves, stale and then current. A leaf may read it,
+    // too, when it gets no answer at once.
     constexpr std::size_t Leaves =
         LargeFleetTest::Boxes - LargeFleetTest::Strong;
     REQUIRE(Test.m_Store.reads("op/config") - Before < Leaves / 2);
   }
-  SECTION("or from the store, when that is away") {
+  SECTION("or from the store, when the relays are gone") {
     REQUIRE(Test.until([&] { return Test.m_Store.watches("op/config") == 1; }));
     Test.configure(2);
     for (std::size_t Number = 0; Number < LargeFleetTest::Strong; ++Number)
@@ -160,13 +160,13 @@
           [](const auto &Box) { return Box->state().configVersion() == 2; });
     }));
   }
-  SECTION("news of the configuration reach all though its watch is dead") {
+  SECTION("a new configuration reaches all though the watch of it is dead") {
     REQUIRE(Test.until([&] { return Test.m_Store.watches("op/config") == 1; }));
     REQUIRE(Test.m_Store.silenceWatch("op/config"));
     Test.configure(2);
     REQUIRE(Test.until([&] { return Test.allServe(2); }));
   }
-  SECTION("loads of a leaf reach the others, and are counted once") {
+  SECTION("loads of a leaf reach the other boxes, and are counted once") {
     const auto Leaf = Test.m_Boxes.rbegin();
     StandinRunner &Slow =
         Test.addRunner("i-3", [](const Request &, const ConnectionPtr &) {});
@@ -186,48 +186,47 @@
                          [&](const auto &Box) { return Running(*Box) == 1; });
     }));
   }
-  SECTION("and another one when that one is gone") {
-    Giver->reset();
+  SECTION("another box takes over when that one is gone") {
+    Leader->reset();
     REQUIRE(Test.until([&] {
-      return std::any_of(
-          Test.m_Boxes.begin(), Test.m_Boxes.end(),
-          [](const auto &Box) { return Box && Box->givesOrders(); });
+      return std::any_of(Test.m_Boxes.begin(), Test.m_Boxes.end(),
+                         [](const auto &Box) { return Box && Box->leading(); });
     }));
     REQUIRE(Test.until([&] { return Test.watching() == 1; }));
   }
 }
 
-TEST_CASE("Leaves follow a configuration that their relay has not taken",
+TEST_CASE("Leaves learn of a configuration that their relay cannot decode",
           "[gateway][fleet][configuration]") {
   LargeFleetTest Test;
   REQUIRE(Test.until([&] {
     return Test.m_Store.watches("op/config") == 1 &&
            std::any_of(Test.m_Boxes.begin(), Test.m_Boxes.end(),
-                       [](const auto &Box) { return Box->givesOrders(); });
+                       [](const auto &Box) { return Box->leading(); });
   }));
-  // A relay that reads for itself alone.
-  const auto Stubborn = std::find_if(
+  // A relay that is not the leader, and so does not read for others.
+  const auto Outdated = std::find_if(
       Test.m_Boxes.begin(), Test.m_Boxes.begin() + LargeFleetTest::Strong,
-      [](const auto &Box) { return !Box->givesOrders(); });
-  Test.m_Stubborn = LargeFleetTest::nameOf(
-      static_cast<std::size_t>(std::distance(Test.m_Boxes.begin(), Stubborn)));
+      [](const auto &Box) { return !Box->leading(); });
+  Test.m_OutdatedBox = LargeFleetTest::nameOf(
+      static_cast<std::size_t>(std::distance(Test.m_Boxes.begin(), Outdated)));
   Test.configure(2);
   REQUIRE(Test.until([&] {
     return std::all_of(
         Test.m_Boxes.begin(), Test.m_Boxes.end(), [&](const auto &Box) {
-          return Box == *Stubborn || Box->state().configVersion() == 2;
+          return Box == *Outdated || Box->state().configVersion() == 2;
         });
   }));
 }
 
-TEST_CASE("What leaves know and are told does not grow with the list",
+TEST_CASE("What leaves keep and are sent does not grow with the list",
           "[gateway][fleet][known-red]") {
   const auto Measure = [](int Engines) {
     LargeFleetTest Test(Engines);
     REQUIRE(Test.until(
         [&] { return Test.leavesKnow(static_cast<std::size_t>(Engines)); }));
     const std::uint64_t Before = Test.bytes("fleet_keys");
-    // A change of one entry, which every leaf hears of.
+    // A change of one entry, which is sent to every leaf.
     Test.addRunner("i-2", [](const Request &, const ConnectionPtr &) {});
     REQUIRE(Test.until([&] {
       return std::all_of(
@@ -239,7 +238,7 @@
   };
   const auto [KnownOfFew, BytesOfFew] = Measure(600);
   const auto [KnownOfMany, BytesOfMany] = Measure(2400);
-  // Ten models with sixteen replicas each at most, of three on an engine.
+  // Ten models with at most sixteen replicas each, three models on an engine.
   REQUIRE(KnownOfFew <= 162);
   REQUIRE(KnownOfMany <= 162);
   REQUIRE(BytesOfMany <= 2 * BytesOfFew);
@@ -254,15 +253,15 @@
   const auto Lists = [&](std::size_t Number, std::size_t Entries) {
     return Test.m_Boxes[Number]->listedUpstreams() == Entries;
   };
-  // One that took itself for a relay as it started knows all; with the next
-  // change its relay tells it what it needs.
+  // A box that acted as a relay when it started knows the whole list; with the
+  // next change its relay sends it the subset.
   const std::size_t Next = LargeFleetTest::Strong;
   Test.addRunner("i-2", [](const Request &, const ConnectionPtr &) {});
   REQUIRE(Test.until([&] {
     return Test.m_Boxes[Next]->state().m_Upstreams.current().contains("i-2") &&
            !Lists(Next, Engines + 2);
   }));
-  // The next boxes by name are relays once the strong ones are gone.
+  // The next boxes by name become relays when the strong ones are gone.
   for (std::size_t Number = 0; Number < LargeFleetTest::Strong; ++Number)
     Test.m_Boxes[Number].reset();
   REQUIRE(Test.until([&] { return Lists(Next, Engines + 2); }));
--- a/tests/gateway/OrderTest.cpp
+++ b/tests/gateway/OrderTest.cpp
@@ -12,24 +12,25 @@
 using Request = StandinRunner::Request;
 using ConnectionPtr = StandinRunner::ConnectionPtr;
 
-/// An engine that holds the model `m` and takes orders for its adapters.
+/// An engine that holds the model `m` and accepts orders for its adapters.
 class OrderedEngine {
 public:
-  void serve(const Request &Of, const ConnectionPtr &To) {
-    if (Of.m_Target == "/v1/report")
-      return To->write(StandinRunner::answer(Of, 200, dumpJson(report())));
-    if (Of.m_Target == "/v1/order")
-      return order(Of, To);
-    const std::string Model = Of.header("x-model-name");
+  void serve(const Request &Received, const ConnectionPtr &To) {
+    if (Received.m_Target == "/v1/report")
+      return To->write(
+          StandinRunner::answer(Received, 200, dumpJson(report())));
+    if (Received.m_Target == "/v1/order")
+      return order(Received, To);
+    const std::string Model = Received.header("x-model-name");
     const std::size_t Slash = Model.find('/');
     const bool Held = Slash == std::string::npos ||
                       m_Adapters.contains(Model.substr(Slash + 1));
-    To->write(Held ? StandinRunner::answer(Of, 200, "run")
-                   : StandinRunner::answer(Of, 421, "",
+    To->write(Held ? StandinRunner::answer(Received, 200, "run")
+                   : StandinRunner::answer(Received, 421, "",
                                            "X-Request-Not-Executed: 1\r\n"));
   }
 
-  /// It ends, and starts again under its name.
+  /// Simulates a restart under the same name with the start time \p Born.
   void startAgain(StartTime Born) {
     m_StartTime = Born;
     m_Orders.clear();
@@ -47,13 +48,13 @@
              Json::array({{{"name", "m"}, {"adapterList", m_Adapters}}})}};
   }
 
-  void order(const Request &Of, const ConnectionPtr &To) {
-    const Json Order = parseJson(Of.m_Body);
+  void order(const Request &Received, const ConnectionPtr &To) {
+    const Json Order = parseJson(Received.m_Body);
     if (Order.at("expectedCount") != m_Orders.size())
-      return To->write(StandinRunner::answer(Of, 409, ""));
+      return To->write(StandinRunner::answer(Received, 409, ""));
     m_Orders.push_back(Order);
     m_Adapters.insert(Order.at("adapterName").get<std::string>());
-    To->write(StandinRunner::answer(Of, 202, ""));
+    To->write(StandinRunner::answer(Received, 202, ""));
   }
 
   StartTime m_StartTime = 100;
@@ -63,8 +64,8 @@
 class OrderTest : public GatewayTest {
 public:
   OrderTest() {
-    addRunner("i-1", [this](const Request &Of, const ConnectionPtr &To) {
-      m_Engine.serve(Of, To);
+    addRunner("i-1", [this](const Request &Received, const ConnectionPtr &To) {
+      m_Engine.serve(Received, To);
     });
     listEngine("i-1", {"m"}, 100);
     configureEngines(route("llm", "unsafe"),
@@ -74,9 +75,8 @@
                                    {"adapterList", 3},
                                    {"adapterSizeMb", 1}}}));
     startGateway();
-    REQUIRE(until([&] {
-      return m_Gateway->state().ready() && m_Gateway->givesOrders();
-    }));
+    REQUIRE(until(
+        [&] { return m_Gateway->state().ready() && m_Gateway->leading(); }));
   }
 
   int ask(const std::string &Model, const std::string &Id) {
@@ -86,7 +86,7 @@
     return fetch(std::move(Call)).m_Status;
   }
 
-  /// Whether requests for \p Model run in the end.
+  /// Whether requests for \p Model are served within 200 tries.
   bool runs(const std::string &Model) {
     int Status = 0;
     for (int Number = 0; Status != 200 && Number < 200; ++Number)
@@ -99,7 +99,7 @@
 
 } // namespace
 
-TEST_CASE("An adapter that requests wait for is ordered, and then they run",
+TEST_CASE("An adapter that requests wait for is ordered, and they are served",
           "[gateway][orders]") {
   OrderTest Test;
   REQUIRE(Test.ask("m", "id-model") == 200);
@@ -116,7 +116,7 @@
   REQUIRE(Order.at("fencingToken").get<std::uint64_t>() > 0);
 }
 
-TEST_CASE("An engine that has started again under its name is ordered anew",
+TEST_CASE("An engine that has restarted under its name is sent orders anew",
           "[gateway][orders][lives]") {
   OrderTest Test;
   REQUIRE(Test.runs("m/a2"));
@@ -125,7 +125,7 @@
   Test.m_Engine.startAgain(Born);
   if (!ListLags)
     Test.listEngine("i-1", {"m"}, Born);
-  // Its own report tells of the start, or its entry does.
+  // Either the engine's report shows the restart first, or its entry does.
   Test.ask("m/a3", "id-first");
   if (ListLags)
     Test.listEngine("i-1", {"m"}, Born);
@@ -137,7 +137,7 @@
   }));
 }
 
-TEST_CASE("A model that nothing holds is refused with when to come back",
+TEST_CASE("A model that no engine holds is refused with a retry time",
           "[gateway][orders]") {
   OrderTest Test;
   HttpCall Call = Test.call("/llm/x", "id-1");
@@ -147,16 +147,16 @@
   REQUIRE_FALSE(findHeader(Answer.m_Headers, "Retry-After").empty());
 }
 
-TEST_CASE("However many engines there are, few are asked for reports at a time",
+TEST_CASE("Few engines are asked for reports at a time, however many there are",
           "[gateway][orders]") {
   constexpr std::size_t Engines = 300;
   constexpr std::size_t MostAtOnce = 64;
   GatewayTest Test;
   std::vector<std::pair<Request, ConnectionPtr>> Waiting;
-  Test.addRunner("i-0", [&](const Request &Of, const ConnectionPtr &To) {
-    Waiting.emplace_back(Of, To);
+  Test.addRunner("i-0", [&](const Request &Received, const ConnectionPtr &To) {
+    Waiting.emplace_back(Received, To);
   });
-  // All at one address: each is asked by its own call.
+  // All at one address: each engine gets its own call.
   for (std::size_t Number = 0; Number < Engines; ++Number) {
     const std::string Id = "i-" + std::to_string(Number);
     Json Entry = parseJson(Test.m_Store.value("servers/i-0"));
@@ -171,12 +171,12 @@
   REQUIRE(Test.until([&] { return Waiting.size() == MostAtOnce; }));
   Test.wait(300ms);
   REQUIRE(Waiting.size() == MostAtOnce);
-  // Each answer makes room for the next.
+  // Each answer lets the next call be made.
   std::size_t Answered = 0;
   REQUIRE(Test.until([&] {
-    for (auto &[Of, To] : std::exchange(Waiting, {})) {
+    for (auto &[Received, To] : std::exchange(Waiting, {})) {
       To->write(
-          StandinRunner::answer(Of, 200,
+          StandinRunner::answer(Received, 200,
                                 dumpJson({{"sequenceNumber", 0},
                                           {"born", 0},
                                           {"utilization", false},
--- a/tests/gateway/RestartTest.cpp
+++ b/tests/gateway/RestartTest.cpp
@@ -15,7 +15,7 @@
     addRunner("i-1", [this](const Request &Of, const ConnectionPtr &On) {
       serve(Of, On);
     });
-    listBorn("i-1", 100);
+    listStarted("i-1", 100);
     start();
     REQUIRE(until([&] { return listedStartTime() == 100; }));
   }
@@ -36,7 +36,7 @@
   void restart() {
     m_WithholdAnswers = false;
     ++m_StartCount;
-    listBorn("i-1", 100 + m_StartCount);
+    listStarted("i-1", 100 + m_StartCount);
     REQUIRE(until([&] { return listedStartTime() == 100 + m_StartCount; }));
   }
 
--- a/tests/gateway/ServerLeavingTest.cpp
+++ b/tests/gateway/ServerLeavingTest.cpp
@@ -58,7 +58,7 @@
   REQUIRE(Test.until(AllKnow));
   SECTION("and a later incarnation of the upstream is used again") {
     Test.m_SignalHeaders["leaving"] = "";
-    Test.listBorn("leaving", 7);
+    Test.listStarted("leaving", 7);
     REQUIRE(Test.sendOne().m_Served == 1);
   }
 }
--- a/tests/gateway/SuspensionTest.cpp
+++ b/tests/gateway/SuspensionTest.cpp
@@ -64,9 +64,9 @@
   GatewayTest Test;
   Test.addRunner("i-1", [](const Request &, const ConnectionPtr &) {});
   Test.start();
-  REQUIRE(Test.until([&] { return Test.m_Gateway->givesOrders(); }));
+  REQUIRE(Test.until([&] { return Test.m_Gateway->leading(); }));
   Clock::skip(SuspendedFor);
-  REQUIRE(Test.until([&] { return !Test.m_Gateway->givesOrders(); }));
+  REQUIRE(Test.until([&] { return !Test.m_Gateway->leading(); }));
   // The lease is acquired again.
-  REQUIRE(Test.until([&] { return Test.m_Gateway->givesOrders(); }));
+  REQUIRE(Test.until([&] { return Test.m_Gateway->leading(); }));
 }
--- /dev/null
+++ b/tests/gateway/WatchCacheTest.cpp
@@ -0,0 +1,208 @@
+#include "gateway/process/WatchCache.h"
+
+#include "wire/common/Clock.h"
+
+#include <catch2/catch.hpp>
+#include <utility>
+
+using namespace havenstair;
+
+namespace {
+
+/// A store that keeps reads and watches open until the test answers them.
+class ManualStore : public CoordinationStore {
+public:
+  void range(const std::string &, ReadKind Kind, ItemsDone Callback) override {
+    m_Kinds.push_back(Kind);
+    m_Reads.push_back(std::move(Callback));
+  }
+  std::shared_ptr<void> watch(const std::string &, StoreRevision After,
+                              Duration, ChangesDone Callback) override {
+    m_WatchRevisions.push_back(After);
+    m_Watch = std::move(Callback);
+    return nullptr;
+  }
+  void transact(const StoreTransaction &, WriteDone) override {}
+  void grantLease(Duration, LeaseDone) override {}
+  void renewLease(LeaseId, Done) override {}
+  void revokeLease(LeaseId, Done) override {}
+
+  /// Answers the open watch: nothing has changed up to \p At.
+  void endWatchUnchanged(StoreRevision At) {
+    const ChangesDone Done = std::exchange(m_Watch, {});
+    Done({.m_Status = StoreStatus::Ok, .m_Changes = {}, .m_At = At});
+  }
+
+  /// Revisions after which the watches asked for changes.
+  std::vector<StoreRevision> m_WatchRevisions;
+  ChangesDone m_Watch;
+  std::vector<ReadKind> m_Kinds;
+  std::vector<ItemsDone> m_Reads;
+};
+
+} // namespace
+
+TEST_CASE("Only one read is in flight, however often one is requested",
+          "[gateway][mirror]") {
+  EventLoop Loop;
+  ManualStore Store;
+  int Changes = 0;
+  WatchCache Cache(Loop, Store, {.m_Prefix = "p"},
+                   {.m_Changed = [&] { ++Changes; }});
+  Cache.readOnce(ReadKind::Stale);
+  Cache.readOnce(ReadKind::Current);
+  REQUIRE(Cache.reading());
+  REQUIRE(Store.m_Reads.size() == 1);
+  Store.m_Reads.front()({.m_Status = StoreStatus::Ok,
+                         .m_Items = {{.m_Key = "p/a", .m_Value = "1"}},
+                         .m_At = 5});
+  REQUIRE(Changes == 1);
+  REQUIRE_FALSE(Cache.reading());
+  SECTION("the next one is made once the first has been answered") {
+    Cache.readOnce(ReadKind::Current);
+    REQUIRE(Store.m_Kinds ==
+            std::vector<ReadKind>{ReadKind::Stale, ReadKind::Current});
+  }
+  SECTION("a read without changes is not reported as a change") {
+    Cache.readOnce(ReadKind::Current);
+    Store.m_Reads.back()({.m_Status = StoreStatus::Ok,
+                          .m_Items = {{.m_Key = "p/a", .m_Value = "1"}},
+                          .m_At = 9});
+    REQUIRE(Changes == 1);
+    // But the copy is as new as that read: other boxes compare revisions.
+    REQUIRE(Cache.revision() == 9);
+  }
+}
+
+TEST_CASE("A read in flight is not abandoned", "[gateway][mirror]") {
+  EventLoop Loop;
+  ManualStore Store;
+  WatchCache Cache(Loop, Store, {.m_Prefix = "p"}, {.m_Changed = [] {}});
+  const auto Answer = [&] {
+    Store.m_Reads.front()({.m_Status = StoreStatus::Ok,
+                           .m_Items = {{.m_Key = "p/a", .m_Value = "1"}},
+                           .m_At = 5});
+  };
+  SECTION("when the box begins to watch") {
+    Cache.readOnce(ReadKind::Current);
+    Cache.start();
+    REQUIRE(Store.m_Reads.size() == 1);
+    Answer();
+    REQUIRE(Store.m_WatchRevisions == std::vector<StoreRevision>{5});
+  }
+  SECTION("when it begins to follow another box") {
+    Cache.start();
+    Cache.stop();
+    Cache.readOnce(ReadKind::Current);
+    REQUIRE(Store.m_Reads.size() == 1);
+    Answer();
+    REQUIRE(Cache.revision() == 5);
+    REQUIRE(Store.m_WatchRevisions.empty());
+  }
+  SECTION("when the cache is to be read anew") {
+    Cache.start();
+    Cache.resync();
+    REQUIRE(Store.m_Reads.size() == 1);
+    Store.m_Reads.front()({.m_Status = StoreStatus::Lost});
+    REQUIRE(Loop.runUntil([&] { return Store.m_Reads.size() == 2; }, 20s));
+  }
+}
+
+TEST_CASE("The outcome of each read is reported", "[gateway][mirror]") {
+  EventLoop Loop;
+  ManualStore Store;
+  std::vector<WatchCache::ReadOutcome> Ends;
+  WatchCache Cache(
+      Loop, Store,
+      {.m_Prefix = "p",
+       .m_Retry = {.m_First = 100ms,
+                   .m_Cap = 1s,
+                   .m_Random = [] { return 1.0; }}},
+      {.m_Changed = [] {},
+       .m_ReadEnded = [&](const auto &End) { Ends.push_back(End); }});
+  Cache.start();
+  Store.m_Reads.back()({.m_Status = StoreStatus::Refused});
+  REQUIRE(Ends.size() == 1);
+  REQUIRE(Ends.back().m_Status == StoreStatus::Refused);
+  REQUIRE(Ends.back().m_NextTry > 0us);
+  Cache.resync();
+  Store.m_Reads.back()({.m_Status = StoreStatus::Ok,
+                        .m_Items = {{.m_Key = "p/a", .m_Value = "12"}},
+                        .m_At = 5});
+  REQUIRE(Ends.size() == 2);
+  REQUIRE(Ends.back().m_Status == StoreStatus::Ok);
+  REQUIRE(Ends.back().m_Bytes == 2);
+  REQUIRE(Ends.back().m_At == 5);
+}
+
+TEST_CASE("A change that a watch missed is delivered by the next ones",
+          "[gateway][mirror]") {
+  EventLoop Loop;
+  ManualStore Store;
+  WatchCache Cache(Loop, Store, {.m_Prefix = "p"}, {.m_Changed = [] {}});
+  Cache.start();
+  Store.m_Reads.front()({.m_Status = StoreStatus::Ok,
+                         .m_Items = {{.m_Key = "p/a", .m_Value = "1"}},
+                         .m_At = 5});
+  // There was a change at 7, and the watch ends without it.
+  Store.endWatchUnchanged(9);
+  Store.endWatchUnchanged(12);
+  REQUIRE(Store.m_WatchRevisions == std::vector<StoreRevision>{5, 5, 5});
+  SECTION("and revisions without changes for long are not requested again") {
+    Clock::skip(3s);
+    Store.endWatchUnchanged(30);
+    REQUIRE(Store.m_WatchRevisions.back() == 9);
+    Clock::skip(3s);
+    Store.endWatchUnchanged(60);
+    REQUIRE(Store.m_WatchRevisions.back() == 30);
+  }
+}
+
+TEST_CASE("Partial and whole lists are never taken for each other",
+          "[gateway][mirror]") {
+  EventLoop Loop;
+  ManualStore Store;
+  WatchCache Cache(Loop, Store, {.m_Prefix = "p"}, {.m_Changed = [] {}});
+  const auto makeDelta = [](StoreRevision Since, StoreRevision To, bool Part,
+                            const std::string &Key) {
+    return WatchCache::Delta{.m_Since = Since,
+                             .m_Revision = To,
+                             .m_Part = Part,
+                             .m_Items = {{.m_Key = Key, .m_Value = "1"}},
+                             .m_Gone = {}};
+  };
+  REQUIRE(Cache.adopt(makeDelta(0, 5, true, "p/a")));
+  REQUIRE(Cache.partial());
+  SECTION("changes of the other kind are rejected") {
+    REQUIRE_FALSE(Cache.adopt(makeDelta(5, 6, false, "p/b")));
+    REQUIRE(Cache.items().size() == 1);
+    REQUIRE(Cache.adopt(makeDelta(5, 6, true, "p/b")));
+    REQUIRE(Cache.items().size() == 2);
+  }
+  SECTION("a change outside the part only raises the revision") {
+    int Changes = 0;
+    WatchCache Other(Loop, Store, {.m_Prefix = "p"},
+                     {.m_Changed = [&] { ++Changes; }});
+    REQUIRE(Other.adopt(makeDelta(0, 5, true, "p/a")));
+    REQUIRE(Other.adopt({.m_Since = 5, .m_Revision = 6, .m_Part = true}));
+    REQUIRE(Other.revision() == 6);
+    REQUIRE(Changes == 1);
+  }
+  SECTION("a whole list replaces it, even at the same revision") {
+    REQUIRE(Cache.adopt(makeDelta(0, 5, false, "p/b")));
+    REQUIRE_FALSE(Cache.partial());
+    REQUIRE(Cache.items().contains("p/b"));
+    REQUIRE(Cache.items().size() == 1);
+  }
+  SECTION("but an older one does not") {
+    REQUIRE(Cache.adopt(makeDelta(0, 4, false, "p/b")));
+    REQUIRE(Cache.partial());
+  }
+  SECTION("and a list read from the store is whole") {
+    Cache.readOnce(ReadKind::Current);
+    Store.m_Reads.front()({.m_Status = StoreStatus::Ok,
+                           .m_Items = {{.m_Key = "p/a", .m_Value = "1"}},
+                           .m_At = 6});
+    REQUIRE_FALSE(Cache.partial());
+  }
+}
