--- a/tests/fuzz/FuzzDocuments.cpp
+++ b/tests/fuzz/FuzzDocuments.cpp
@@ -2,7 +2,7 @@
 /// Fuzz target: documents of the platform, of operators and of engines. The
 /// first byte chooses the reader.
 #include "platform/OperatorConfig.h"
-#include "platform/ServerEntry.h"
+#include "platform/UpstreamEntry.h"
 #include "wire/common/Json.h"
 #include "wire/process/EngineClient.h"
 #include "wire/version/TableCsv.h"
@@ -38,7 +38,7 @@
     engineOrderFromJson(parseJson(Text));
     return;
   case 7:
-    platform::decodeServer("servers/i-1", std::string(Text));
+    platform::decodeUpstream("servers/i-1", std::string(Text));
     return;
   case 8:
     platform::decodeReport(std::string(Text));
--- a/tests/gateway/ConfigurationTest.cpp
+++ b/tests/gateway/ConfigurationTest.cpp
@@ -148,7 +148,7 @@
   // Two calls and two messages between boxes, on a box with a slow event loop.
   constexpr Duration CallsAndMessages = 4 * 50ms;
   constexpr Duration DetectDead =
-      WatchCache::ShortWait + platform::StoreClient::WatchTimeout;
+      WatchCache::ShortWait + platform::StoreClient::WatchTimeoutMargin;
   REQUIRE(DetectDead + ConfigFetchPolicy::WatchSilenceTimeout +
               CallsAndMessages <
           Allowed);
--- a/tests/gateway/EntryTest.cpp
+++ b/tests/gateway/EntryTest.cpp
@@ -1,6 +1,6 @@
 #include "gateway/GatewayTest.h"
 #include "platform/OperatorConfig.h"
-#include "platform/ServerEntry.h"
+#include "platform/UpstreamEntry.h"
 #include "support/Draw.h"
 
 #include <cstdio>
@@ -97,7 +97,7 @@
   rc::prop("entries", [] {
     EventLoop Loop;
     DecisionLog Log(Loop, {.m_Descriptor = open("/dev/null", O_WRONLY)});
-    UpstreamRegistry Registry(platform::decodeServer, Log);
+    UpstreamRegistry Registry(platform::decodeUpstream, Log);
     std::map<std::string, StoreItem> Items;
     StoreRevision Revision = 0;
     for (int Number = 0; Number < 4; ++Number) {
@@ -125,9 +125,10 @@
 TEST_CASE("A valid entry under an invalid id is rejected",
           "[platform][entries]") {
   const std::string Good = dumpJson(goodEntry());
-  REQUIRE(platform::decodeServer("servers/i-1", Good).m_Id == "i-1");
+  REQUIRE(platform::decodeUpstream("servers/i-1", Good).m_Id == "i-1");
   const std::string Id = GENERATE("", "two words", "cr\r\nlf: x", "\xc3\x28");
-  REQUIRE_THROWS_AS(platform::decodeServer("servers/" + Id, Good), DecodeError);
+  REQUIRE_THROWS_AS(platform::decodeUpstream("servers/" + Id, Good),
+                    DecodeError);
 }
 
 TEST_CASE("A megabyte of invalid bytes costs one short line of the log",
@@ -137,7 +138,7 @@
   REQUIRE(File != nullptr);
   {
     DecisionLog Log(Loop, {.m_Descriptor = fileno(File)});
-    UpstreamRegistry Registry(platform::decodeServer, Log);
+    UpstreamRegistry Registry(platform::decodeUpstream, Log);
     const std::string Invalid =
         GENERATE(std::string(1 << 20, '['), std::string(1 << 20, '\xff'),
                  dumpJson({{"service", std::string(1 << 20, 'x')}}));
--- a/tests/gateway/LeafSubsetsTest.cpp
+++ b/tests/gateway/LeafSubsetsTest.cpp
@@ -3,7 +3,7 @@
 #include "gateway/common/DecisionLog.h"
 #include "gateway/process/ListFollower.h"
 #include "gateway/process/UpstreamRegistry.h"
-#include "platform/ServerEntry.h"
+#include "platform/UpstreamEntry.h"
 #include "support/Names.h"
 #include "wire/common/Json.h"
 
@@ -33,7 +33,7 @@
 public:
   LeafSubsetsTest()
       : m_Log(m_Loop, {.m_Descriptor = open("/dev/null", O_WRONLY)}),
-        m_Registry(platform::decodeServer, m_Log),
+        m_Registry(platform::decodeUpstream, m_Log),
         m_List(m_Loop, m_Store, {.m_Prefix = "servers/"}, {.m_Changed = [] {}}),
         m_Leaf(m_Loop, m_Store, {.m_Prefix = "servers/"},
                {.m_Changed = [] {}}) {
--- a/tests/gateway/PlatformTest.cpp
+++ b/tests/gateway/PlatformTest.cpp
@@ -2,7 +2,7 @@
 
 #include "platform/NodeFile.h"
 #include "platform/OperatorConfig.h"
-#include "platform/ServerEntry.h"
+#include "platform/UpstreamEntry.h"
 
 using namespace havenstair;
 
@@ -180,7 +180,7 @@
         WarmUpTolerance{.m_Factor = 1.5, .m_Allowance = 5});
   CHECK(Options.m_Bounds.m_EvacuationDelay == 4500ms);
 
-  const UpstreamInstance Server = platform::decodeServer(
+  const UpstreamInstance Server = platform::decodeUpstream(
       "servers/i-1", R"({"service":"s","address":"10.0.0.9:80","zone":"a",
                          "version":"v1","slots":8,"state":"ready",
                          "sequenceNumber":1,
@@ -289,7 +289,7 @@
                R"({"version":1,"routes":{},"services":7})",
                R"({"version":1,"routes":[{"name":1}],"services":[]})");
   REQUIRE_THROWS_AS(platform::decodeConfig(Text, SecretHasher()), DecodeError);
-  REQUIRE_THROWS_AS(platform::decodeServer("servers/i", Text), DecodeError);
+  REQUIRE_THROWS_AS(platform::decodeUpstream("servers/i", Text), DecodeError);
 }
 
 TEST_CASE("An upstream entry without a usable address is an error",
@@ -300,9 +300,9 @@
              {"zone", "a"},         {"slots", 8},
              {"state", "ready"},    {"version", "v1"},
              {"sequenceNumber", 1}, {"coldRemainingMs", 0}};
-  REQUIRE_NOTHROW(platform::decodeServer("servers/i", dumpJson(Entry)));
+  REQUIRE_NOTHROW(platform::decodeUpstream("servers/i", dumpJson(Entry)));
   Entry["address"] = Address;
-  REQUIRE_THROWS_AS(platform::decodeServer("servers/i", dumpJson(Entry)),
+  REQUIRE_THROWS_AS(platform::decodeUpstream("servers/i", dumpJson(Entry)),
                     DecodeError);
 }
 
