--- a/packages/havenstair/common/ApiClient.cpp
+++ b/packages/havenstair/common/ApiClient.cpp
@@ -8,7 +8,7 @@
 
 constexpr Duration CallTimeout = 10s;
 
-std::string messageOf(const HttpAnswer &Answer) {
+std::string errorMessage(const HttpAnswer &Answer) {
   try {
     const Json Error = field<Json>(parseJson(Answer.m_Body), "error");
     return field<std::string>(Error, "code") + ": " +
@@ -20,11 +20,12 @@
 
 } // namespace
 
-ApiClient::ApiClient(Endpoint Operators, std::string Token)
-    : m_Operators(std::move(Operators)), m_Token(std::move(Token)) {}
+ApiClient::ApiClient(Endpoint OperatorAddress, std::string Token)
+    : m_OperatorAddress(std::move(OperatorAddress)), m_Token(std::move(Token)) {
+}
 
-ApiClient ApiClient::at(const Endpoint &Operators) const {
-  return ApiClient(Operators, m_Token);
+ApiClient ApiClient::forAddress(const Endpoint &OperatorAddress) const {
+  return ApiClient(OperatorAddress, m_Token);
 }
 
 HttpAnswer ApiClient::call(HttpMethod Method, const std::string &Path,
@@ -33,7 +34,7 @@
   EventLoop Loop;
   HttpClient Http(Loop);
   HttpCall Call;
-  Call.m_To = m_Operators;
+  Call.m_To = m_OperatorAddress;
   Call.m_Method = Method;
   Call.m_Target = Path;
   Call.m_Headers = Headers;
@@ -49,7 +50,7 @@
   Loop.runUntil([&] { return Done; }, CallTimeout * 2);
   if (!Done || Result.m_End != HttpEnd::Complete)
     throw CommandError(ExitCode::Unreachable,
-                       "no answer from " + m_Operators.str());
+                       "no answer from " + m_OperatorAddress.str());
   return Result;
 }
 
@@ -61,7 +62,7 @@
     Code = ExitCode::Conflict;
   else if (Answer.m_Status == 422 || Answer.m_Status == 400)
     Code = ExitCode::Refused;
-  throw CommandError(Code, messageOf(Answer));
+  throw CommandError(Code, errorMessage(Answer));
 }
 
 Json ApiClient::get(const std::string &Path) {
--- a/packages/havenstair/common/ApiClient.h
+++ b/packages/havenstair/common/ApiClient.h
@@ -1,5 +1,5 @@
 /// \file
-/// Calls to the operators' side of a box.
+/// Client of the operators' HTTP interface of a box.
 #ifndef HAVENSTAIR_HAVENSTAIR_COMMON_APICLIENT_H
 #define HAVENSTAIR_HAVENSTAIR_COMMON_APICLIENT_H
 
@@ -10,27 +10,36 @@
 
 namespace havenstair {
 
-/// Waits for each answer; made for a command, not for a server.
+/// Sends requests to the operators' address of one box. Each call blocks until
+/// the answer is there, so it is for command-line use only.
 class ApiClient {
 public:
-  ApiClient(Endpoint Operators, std::string Token);
+  /// \p Token authenticates the operator.
+  ApiClient(Endpoint OperatorAddress, std::string Token);
 
-  /// \throws CommandError with the code that fits an answer that is no success.
+  /// Returns the JSON that the box answers.
+  /// \throws CommandError when no complete answer comes or the status is an
+  /// error.
   Json get(const std::string &Path);
+  /// Sends \p Body, or an empty body when it is null, and returns the answer
+  /// whatever its status.
+  /// \throws CommandError when no complete answer comes.
   HttpAnswer send(HttpMethod Method, const std::string &Path, const Json &Body,
                   const HttpHeaders &Headers);
-  /// The same client for the operators' side of another box.
-  ApiClient at(const Endpoint &Operators) const;
+  /// Returns a client with the same token for the operators' address of
+  /// another box.
+  ApiClient forAddress(const Endpoint &OperatorAddress) const;
 
 private:
   HttpAnswer call(HttpMethod Method, const std::string &Path,
                   const std::string &Body, const HttpHeaders &Headers);
 
-  Endpoint m_Operators;
+  Endpoint m_OperatorAddress;
   std::string m_Token;
 };
 
-/// Throws the CommandError that fits \p Answer, unless it is a success.
+/// Checks the status of \p Answer.
+/// \throws CommandError with a matching exit code unless it is a success.
 void checkAnswer(const HttpAnswer &Answer);
 
 } // namespace havenstair
--- a/packages/havenstair/common/ExitCode.h
+++ b/packages/havenstair/common/ExitCode.h
@@ -8,21 +8,22 @@
 
 namespace havenstair {
 
+/// The exit code of the process.
 enum class ExitCode {
   Done = 0,
-  Failed = 1,
-  BadUsage = 2,
-  Conflict = 3,    ///< Somebody else changed the row.
-  Refused = 4,     ///< A cell is wrong, or the table would not fit.
-  Unreachable = 5, ///< No box answered.
-  MissedTarget = 6 ///< `load`: fewer answers met their targets than asked.
+  Failed = 1,      ///< Any other error.
+  BadUsage = 2,    ///< An argument is missing or invalid.
+  Conflict = 3,    ///< The row was changed by someone else meanwhile.
+  Refused = 4,     ///< A value is invalid, or the table would not fit.
+  Unreachable = 5, ///< The box did not answer.
+  MissedTarget = 6 ///< `load`: too few answers met their targets.
 };
 
-/// Ends a command with a code and a sentence for the operator.
+/// Ends the command with an exit code and a message for the operator.
 class CommandError : public std::runtime_error {
 public:
-  CommandError(ExitCode Code, const std::string &Sentence)
-      : std::runtime_error(Sentence), m_Code(Code) {}
+  CommandError(ExitCode Code, const std::string &Message)
+      : std::runtime_error(Message), m_Code(Code) {}
 
   ExitCode code() const { return m_Code; }
 
--- a/packages/havenstair/common/TextTable.cpp
+++ b/packages/havenstair/common/TextTable.cpp
@@ -31,13 +31,13 @@
   return Text;
 }
 
-std::string cellOf(const Json &Value) {
+std::string formatCell(const Json &Value) {
   if (Value.is_string())
     return Value.get<std::string>();
   if (Value.is_array()) {
     std::string Text;
-    for (const Json &Each : Value)
-      Text += (Text.empty() ? "" : ",") + cellOf(Each);
+    for (const Json &Item : Value)
+      Text += (Text.empty() ? "" : ",") + formatCell(Item);
     return Text.empty() ? "-" : Text;
   }
   if (Value.is_number_float()) {
--- a/packages/havenstair/common/TextTable.h
+++ b/packages/havenstair/common/TextTable.h
@@ -1,5 +1,5 @@
 /// \file
-/// Tables for people.
+/// Plain-text tables for the terminal.
 #ifndef HAVENSTAIR_HAVENSTAIR_COMMON_TEXTTABLE_H
 #define HAVENSTAIR_HAVENSTAIR_COMMON_TEXTTABLE_H
 
@@ -9,19 +9,23 @@
 
 namespace havenstair {
 
-/// Columns as wide as their widest cell, two blanks apart.
+/// Formats rows as a table: each column is as wide as its widest cell, and
+/// columns are two blanks apart.
 class TextTable {
 public:
   explicit TextTable(std::vector<std::string> Head);
+  /// Adds a row, which has at most as many cells as the head.
   void add(std::vector<std::string> Cells);
+  /// Returns the table, one line for the head and each row.
   std::string str() const;
 
 private:
   std::vector<std::vector<std::string>> m_Lines;
 };
 
-/// A cell for \p Value: lists by commas, numbers as short as they go.
-std::string cellOf(const Json &Value);
+/// Formats \p Value as a cell: list items are separated by commas, an empty
+/// list is "-", and whole numbers have no decimal point.
+std::string formatCell(const Json &Value);
 
 } // namespace havenstair
 
--- a/packages/havenstair/main.cpp
+++ b/packages/havenstair/main.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// `havenstair`: the command line for operators.
+/// `havenstair`: the command-line tool for operators.
 #include "havenstair/common/ApiClient.h"
 #include "havenstair/common/ExitCode.h"
 #include "havenstair/process/FleetCommands.h"
@@ -55,29 +55,29 @@
 Options:
   --operators ADDRESS  Operators' address of any box, or HAVENSTAIR_OPERATORS.
   --json               Print JSON.
-  --format=WORD        Losses as table or json [default: table].
-  --by=WORD            Losses by route, model, organisation or second
+  --format=WORD        Format of losses: table or json [default: table].
+  --by=WORD            Group losses by route, model, organisation or second
                        [default: route].
   --late=PART          Credit of a late answer [default: 0.3].
-  --held=PART          Loss by waiting the target for nothing [default: 1].
-  --second=PART        Loss by failing twice [default: 0.3].
+  --held=PART          Loss by waiting the target unserved [default: 1].
+  --second=PART        Loss by an unserved second try [default: 0.3].
   --set=CELL           A cell as NAME=TEXT; lists are separated by blanks.
   --dry-run            Show and check what would change; write nothing.
-  --callers=LIST       Callers' addresses, by commas.
+  --callers=LIST       Addresses of boxes for callers, by commas.
   --keys=LIST          Bearer keys, by commas.
   --models=LIST        Models, by commas.
-  --rate=N             Requests a second [default: 10].
+  --rate=N             Requests per second [default: 10].
   --burst=FACTOR       Factor of the rate in bursts [default: 1].
   --burst-ms=MS        Length of a burst [default: 1000].
-  --burst-every-ms=MS  Time from burst to burst [default: 10000].
+  --burst-every-ms=MS  Time between starts of bursts [default: 10000].
   --seconds=N          How long to send [default: 10].
   --max-tokens=N       Tokens of each answer [default: 16].
-  --whole              Ask for whole answers, not streams.
+  --whole              Ask for unstreamed answers.
   --seed=N             Seed of the random choices [default: 1].
   --first-ms=MS        Target for the first token [default: 680].
   --between-ms=MS      Target between tokens [default: 77].
-  --least=PART         Least part of requests that must meet both [default: 0].
-  --quiet              No progress.
+  --least=PART         Fraction of requests that must meet both [default: 0].
+  --quiet              Print no progress.
 
 Exit codes: 0 done, 1 failed, 2 bad usage, 3 conflict, 4 refused value,
 5 no box answered, 6 load missed its targets.
@@ -85,7 +85,7 @@
 
 using Arguments = std::map<std::string, docopt::value>;
 
-std::string environment(const char *Name) {
+std::string environmentVariable(const char *Name) {
   const char *Value = std::getenv(Name);
   return Value == nullptr ? "" : Value;
 }
@@ -105,135 +105,137 @@
   const auto Parsed = Endpoint::parse(Text);
   if (!Parsed)
     throw CommandError(ExitCode::BadUsage,
-                       "'" + Text + "' is not an IP number with a port");
+                       "'" + Text + "' is not an IP address with a port");
   return *Parsed;
 }
 
-double number(const Arguments &Given, const char *Flag) {
-  const std::string Text = Given.at(Flag).asString();
+double parseNumber(const Arguments &Args, const char *Flag) {
+  const std::string Text = Args.at(Flag).asString();
   double Value = 0;
   const char *End = Text.data() + Text.size();
   const auto Result = std::from_chars(Text.data(), End, Value);
   if (Result.ec != std::errc() || Result.ptr != End || !(Value >= 0))
-    throw CommandError(ExitCode::BadUsage, std::string(Flag) + ": '" + Text +
-                                               "' is not a number from 0 up");
+    throw CommandError(ExitCode::BadUsage,
+                       std::string(Flag) + ": '" + Text +
+                           "' is not a number of 0 or more");
   return Value;
 }
 
-Duration millis(const Arguments &Given, const char *Flag) {
-  return fromMillis(number(Given, Flag));
+Duration parseMillis(const Arguments &Args, const char *Flag) {
+  return fromMillis(parseNumber(Args, Flag));
 }
 
-LoadOptions loadOptions(const Arguments &Given) {
+LoadOptions loadOptions(const Arguments &Args) {
   LoadOptions Opts;
-  for (const std::string &Text : splitList(Given.at("--callers").asString()))
-    Opts.m_Callers.push_back(parseAddress(Text));
-  Opts.m_Keys = splitList(Given.at("--keys").asString());
-  Opts.m_Models = splitList(Given.at("--models").asString());
-  if (Opts.m_Callers.empty() || Opts.m_Keys.empty() || Opts.m_Models.empty())
+  for (const std::string &Text : splitList(Args.at("--callers").asString()))
+    Opts.m_CallerAddresses.push_back(parseAddress(Text));
+  Opts.m_Keys = splitList(Args.at("--keys").asString());
+  Opts.m_Models = splitList(Args.at("--models").asString());
+  if (Opts.m_CallerAddresses.empty() || Opts.m_Keys.empty() ||
+      Opts.m_Models.empty())
     throw CommandError(ExitCode::BadUsage,
                        "--callers, --keys and --models must not be empty");
-  Opts.m_Rate = number(Given, "--rate");
+  Opts.m_Rate = parseNumber(Args, "--rate");
   if (Opts.m_Rate <= 0)
     throw CommandError(ExitCode::BadUsage, "--rate must be above 0");
-  Opts.m_BurstFactor = number(Given, "--burst");
-  Opts.m_BurstLength = millis(Given, "--burst-ms");
-  Opts.m_BurstEvery = millis(Given, "--burst-every-ms");
-  Opts.m_Time =
-      std::chrono::seconds(static_cast<long>(number(Given, "--seconds")));
-  Opts.m_MaxTokens = static_cast<int>(number(Given, "--max-tokens"));
-  Opts.m_Stream = !Given.at("--whole").asBool();
-  Opts.m_Seed = static_cast<std::uint64_t>(number(Given, "--seed"));
-  Opts.m_FirstTokenTarget = millis(Given, "--first-ms");
-  Opts.m_BetweenTokensTarget = millis(Given, "--between-ms");
-  Opts.m_LeastAttainment = number(Given, "--least");
-  Opts.m_Json = Given.at("--json").asBool();
-  Opts.m_Progress = !Given.at("--quiet").asBool();
+  Opts.m_BurstFactor = parseNumber(Args, "--burst");
+  Opts.m_BurstLength = parseMillis(Args, "--burst-ms");
+  Opts.m_BurstPeriod = parseMillis(Args, "--burst-every-ms");
+  Opts.m_SendDuration =
+      std::chrono::seconds(static_cast<long>(parseNumber(Args, "--seconds")));
+  Opts.m_MaxTokens = static_cast<int>(parseNumber(Args, "--max-tokens"));
+  Opts.m_Stream = !Args.at("--whole").asBool();
+  Opts.m_Seed = static_cast<std::uint64_t>(parseNumber(Args, "--seed"));
+  Opts.m_FirstTokenTarget = parseMillis(Args, "--first-ms");
+  Opts.m_BetweenTokensTarget = parseMillis(Args, "--between-ms");
+  Opts.m_MinAttainment = parseNumber(Args, "--least");
+  Opts.m_Json = Args.at("--json").asBool();
+  Opts.m_Progress = !Args.at("--quiet").asBool();
   return Opts;
 }
 
-std::vector<CellEdit> cellEdits(const Arguments &Given) {
+std::vector<CellEdit> cellEdits(const Arguments &Args) {
   std::vector<CellEdit> Edits;
-  for (const std::string &Text : Given.at("--set").asStringList())
+  for (const std::string &Text : Args.at("--set").asStringList())
     Edits.push_back(parseCellEdit(Text));
   return Edits;
 }
 
-void runTable(const Arguments &Given, TableCommands &Commands) {
-  const auto On = [&](const char *Word) { return Given.at(Word).asBool(); };
-  if (On("import"))
-    Commands.importCsv(Given.at("FILE").asStringList().front(),
-                       Given.at("--dry-run").asBool());
-  else if (On("export"))
+void runTable(const Arguments &Args, TableCommands &Commands) {
+  const auto IsSet = [&](const char *Word) { return Args.at(Word).asBool(); };
+  if (IsSet("import"))
+    Commands.importCsv(Args.at("FILE").asStringList().front(),
+                       Args.at("--dry-run").asBool());
+  else if (IsSet("export"))
     Commands.exportCsv();
-  else if (On("edit"))
+  else if (IsSet("edit"))
     Commands.setCells(
-        Given.at("GROUP").asString(),
-        {{Given.at("CELL").asString(), Given.at("TEXT").asString()}});
+        Args.at("GROUP").asString(),
+        {{Args.at("CELL").asString(), Args.at("TEXT").asString()}});
   else
     Commands.show();
 }
 
-void runGroup(const Arguments &Given, TableCommands &Commands) {
-  const std::string Group = Given.at("GROUP").asString();
-  if (Given.at("add").asBool())
-    Commands.addGroup(Group, cellEdits(Given));
-  else if (Given.at("set").asBool())
-    Commands.setCells(Group, cellEdits(Given));
+void runGroup(const Arguments &Args, TableCommands &Commands) {
+  const std::string Group = Args.at("GROUP").asString();
+  if (Args.at("add").asBool())
+    Commands.addGroup(Group, cellEdits(Args));
+  else if (Args.at("set").asBool())
+    Commands.setCells(Group, cellEdits(Args));
   else
     Commands.removeGroup(Group);
 }
 
-ApiClient makeClient(const Arguments &Given) {
-  const docopt::value &Flag = Given.at("--operators");
-  const std::string Address =
-      Flag.isString() ? Flag.asString() : environment("HAVENSTAIR_OPERATORS");
+ApiClient makeClient(const Arguments &Args) {
+  const docopt::value &Flag = Args.at("--operators");
+  const std::string Address = Flag.isString()
+                                  ? Flag.asString()
+                                  : environmentVariable("HAVENSTAIR_OPERATORS");
   if (Address.empty())
     throw CommandError(ExitCode::BadUsage,
-                       "give --operators or HAVENSTAIR_OPERATORS");
+                       "no address: set --operators or HAVENSTAIR_OPERATORS");
   return ApiClient(parseAddress(Address),
-                   environment("HAVENSTAIR_OPERATOR_TOKEN"));
+                   environmentVariable("HAVENSTAIR_OPERATOR_TOKEN"));
 }
 
-void run(const Arguments &Given) {
-  const auto On = [&](const char *Word) { return Given.at(Word).asBool(); };
-  if (On("hash-key")) {
-    std::cout << sha256Hex(Given.at("KEY").asString()) << "\n";
+void run(const Arguments &Args) {
+  const auto IsSet = [&](const char *Word) { return Args.at(Word).asBool(); };
+  if (IsSet("hash-key")) {
+    std::cout << sha256Hex(Args.at("KEY").asString()) << "\n";
     return;
   }
-  if (On("trace"))
-    return printTrace(Given.at("ID").asString(),
-                      Given.at("FILE").asStringList());
-  if (On("losses"))
-    return printLosses(Given.at("FILE").asStringList(),
-                       parseLossGrouping(Given.at("--by").asString()),
-                       {.m_Late = number(Given, "--late"),
-                        .m_HeldForNothing = number(Given, "--held"),
-                        .m_SecondFailure = number(Given, "--second")},
-                       parseLossFormat(Given.at("--format").asString()));
-  if (On("load"))
-    return LoadCommand(loadOptions(Given)).run();
-  ApiClient Api = makeClient(Given);
-  TableCommands Rows(Api, On("--json"));
-  FleetCommands Fleet(Api, On("--json"));
-  if (On("table"))
-    runTable(Given, Rows);
-  else if (On("group"))
-    runGroup(Given, Rows);
-  else if (On("models") && On("import"))
-    Rows.importModels(Given.at("FILE").asStringList().front());
-  else if (On("models"))
-    Rows.showModels();
-  else if (On("upstreams"))
+  if (IsSet("trace"))
+    return printTrace(Args.at("ID").asString(), Args.at("FILE").asStringList());
+  if (IsSet("losses"))
+    return printLosses(Args.at("FILE").asStringList(),
+                       parseLossGrouping(Args.at("--by").asString()),
+                       {.m_LateCredit = parseNumber(Args, "--late"),
+                        .m_UnservedWaitPenalty = parseNumber(Args, "--held"),
+                        .m_RetryFailurePenalty = parseNumber(Args, "--second")},
+                       parseLossFormat(Args.at("--format").asString()));
+  if (IsSet("load"))
+    return LoadCommand(loadOptions(Args)).run();
+  ApiClient Api = makeClient(Args);
+  TableCommands Table(Api, IsSet("--json"));
+  FleetCommands Fleet(Api, IsSet("--json"));
+  if (IsSet("table"))
+    runTable(Args, Table);
+  else if (IsSet("group"))
+    runGroup(Args, Table);
+  else if (IsSet("models") && IsSet("import"))
+    Table.importModels(Args.at("FILE").asStringList().front());
+  else if (IsSet("models"))
+    Table.showModels();
+  else if (IsSet("upstreams"))
     Fleet.upstreams();
-  else if (On("boxes"))
+  else if (IsSet("boxes"))
     Fleet.boxes();
-  else if (On("moves"))
+  else if (IsSet("moves"))
     Fleet.moves();
-  else if (On("explain"))
-    Fleet.explain(Given.at("ID").asString());
+  else if (IsSet("explain"))
+    Fleet.explain(Args.at("ID").asString());
   else
-    Fleet.drain(Given.at("BOX").asString());
+    Fleet.drain(Args.at("BOX").asString());
 }
 
 } // namespace
--- a/packages/havenstair/process/FleetCommands.cpp
+++ b/packages/havenstair/process/FleetCommands.cpp
@@ -10,33 +10,34 @@
 
 std::string optionalCell(const Json &From, const char *Name) {
   const auto Found = From.find(Name);
-  return Found == From.end() ? "-" : cellOf(*Found);
+  return Found == From.end() ? "-" : formatCell(*Found);
 }
 
 void explainMove(const Json &Move) {
-  std::cout << "Move " << cellOf(Move.at("id")) << ": "
-            << cellOf(Move.at("verb")) << " of " << cellOf(Move.at("artifact"))
-            << " (" << cellOf(Move.at("size_mib")) << " MiB) on "
-            << cellOf(Move.at("upstream"))
-            << ".\nReason: " << cellOf(Move.at("reason")) << ". "
-            << cellOf(Move.at("explanation")) << "\nOrdered by "
-            << cellOf(Move.at("ordered_by")) << " at "
-            << cellOf(Move.at("at_ms")) << " ms since 1970.\n";
+  std::cout << "Move " << formatCell(Move.at("id")) << ": "
+            << formatCell(Move.at("verb")) << " of "
+            << formatCell(Move.at("artifact")) << " ("
+            << formatCell(Move.at("size_mib")) << " MiB) on "
+            << formatCell(Move.at("upstream"))
+            << ".\nReason: " << formatCell(Move.at("reason")) << ". "
+            << formatCell(Move.at("explanation")) << "\nOrdered by "
+            << formatCell(Move.at("ordered_by")) << " at "
+            << formatCell(Move.at("at_ms")) << " ms since 1970.\n";
 }
 
 void explainRequest(const Json &Request) {
-  std::cout << "Request " << cellOf(Request.at("id")) << " of group "
-            << cellOf(Request.at("group")) << " for "
-            << cellOf(Request.at("target")) << ": "
-            << cellOf(Request.at("outcome")) << ".\n";
+  std::cout << "Request " << formatCell(Request.at("id")) << " of group "
+            << formatCell(Request.at("group")) << " for "
+            << formatCell(Request.at("target")) << ": "
+            << formatCell(Request.at("outcome")) << ".\n";
   for (const Json &Attempt : Request.at("attempts")) {
-    const std::string Upstream = cellOf(Attempt.at("upstream"));
+    const std::string Upstream = formatCell(Attempt.at("upstream"));
     std::cout << "  attempt at "
               << (Upstream.empty() ? "another data centre" : Upstream)
-              << ", through " << cellOf(Attempt.at("admitted_by")) << "\n";
+              << ", through " << formatCell(Attempt.at("admitted_by")) << "\n";
   }
-  std::cout << "  waited " << cellOf(Request.at("queued_us"))
-            << " us in the queue; " << cellOf(Request.at("whole_us"))
+  std::cout << "  waited " << formatCell(Request.at("queued_us"))
+            << " us in the queue; " << formatCell(Request.at("whole_us"))
             << " us in all\n";
 }
 
@@ -50,13 +51,13 @@
   }
   TextTable Out({"UPSTREAM", "KIND", "STATE", "OWNER", "READY", "RUNNING",
                  "WAITING", "SLOTS", "FREE MIB", "SERVING"});
-  for (const Json &Each : Answer.at("upstreams"))
-    Out.add({cellOf(Each.at("name")), cellOf(Each.at("kind")),
-             cellOf(Each.at("state")), cellOf(Each.at("owner")),
-             optionalCell(Each, "ready"), optionalCell(Each, "running"),
-             optionalCell(Each, "waiting"), optionalCell(Each, "slots"),
-             optionalCell(Each, "available_mib"),
-             optionalCell(Each, "serving")});
+  for (const Json &Upstream : Answer.at("upstreams"))
+    Out.add({formatCell(Upstream.at("name")), formatCell(Upstream.at("kind")),
+             formatCell(Upstream.at("state")), formatCell(Upstream.at("owner")),
+             optionalCell(Upstream, "ready"), optionalCell(Upstream, "running"),
+             optionalCell(Upstream, "waiting"), optionalCell(Upstream, "slots"),
+             optionalCell(Upstream, "available_mib"),
+             optionalCell(Upstream, "serving")});
   std::cout << Out.str();
 }
 
@@ -68,13 +69,13 @@
   }
   TextTable Out(
       {"BOX", "DATA CENTRE", "STATE", "REACHABLE", "CALLERS", "OPERATORS"});
-  for (const Json &Each : Answer.at("boxes"))
-    Out.add({cellOf(Each.at("name")), cellOf(Each.at("data_centre")),
-             cellOf(Each.at("state")), cellOf(Each.at("reachable")),
-             cellOf(Each.at("callers")), cellOf(Each.at("operators"))});
-  std::cout << Out.str() << "Asked " << cellOf(Answer.at("self"))
-            << ": assignment " << cellOf(Answer.at("assignment")) << ", table "
-            << cellOf(Answer.at("table")) << ", lease "
+  for (const Json &Box : Answer.at("boxes"))
+    Out.add({formatCell(Box.at("name")), formatCell(Box.at("data_centre")),
+             formatCell(Box.at("state")), formatCell(Box.at("reachable")),
+             formatCell(Box.at("callers")), formatCell(Box.at("operators"))});
+  std::cout << Out.str() << "Asked " << formatCell(Answer.at("self"))
+            << ": assignment " << formatCell(Answer.at("assignment"))
+            << ", table " << formatCell(Answer.at("table")) << ", lease "
             << (Answer.at("lease_held").get<bool>() ? "held" : "not held")
             << ".\n";
 }
@@ -86,19 +87,20 @@
     return;
   }
   TextTable Out({"MOVE", "VERB", "MODEL", "UPSTREAM", "REASON", "WHY"});
-  for (const Json &Each : Answer.at("moves"))
-    Out.add({cellOf(Each.at("id")), cellOf(Each.at("verb")),
-             cellOf(Each.at("artifact")), cellOf(Each.at("upstream")),
-             cellOf(Each.at("reason")), cellOf(Each.at("explanation"))});
+  for (const Json &Move : Answer.at("moves"))
+    Out.add({formatCell(Move.at("id")), formatCell(Move.at("verb")),
+             formatCell(Move.at("artifact")), formatCell(Move.at("upstream")),
+             formatCell(Move.at("reason")),
+             formatCell(Move.at("explanation"))});
   std::cout << Out.str();
 }
 
 Json FleetCommands::findBox(const std::string &Name) {
   const Json Answer = m_Api.get("/admin/v1/boxes");
-  for (const Json &Each : Answer.at("boxes")) {
-    const std::string Full = cellOf(Each.at("name"));
+  for (const Json &Box : Answer.at("boxes")) {
+    const std::string Full = formatCell(Box.at("name"));
     if (Full == Name || Full.substr(0, Full.find('~')) == Name)
-      return Each;
+      return Box;
   }
   throw CommandError(ExitCode::Refused, "there is no box " + Name);
 }
@@ -113,12 +115,16 @@
       explainMove(parseJson(Move.m_Body));
     return;
   }
-  // A request is known to the box that its id begins with.
+  // A request's id begins with the name of the box that handled it; only that
+  // box knows the request.
   const std::string Name = Id.substr(0, Id.rfind('-'));
-  const auto At = Endpoint::parse(cellOf(findBox(Name).at("operators")));
-  if (!At)
-    throw CommandError(ExitCode::Failed, "no address for box " + Name);
-  const Json Request = m_Api.at(*At).get("/admin/v1/requests/" + Id);
+  const auto Address =
+      Endpoint::parse(formatCell(findBox(Name).at("operators")));
+  if (!Address)
+    throw CommandError(ExitCode::Failed,
+                       "no valid operators' address for box " + Name);
+  const Json Request =
+      m_Api.forAddress(*Address).get("/admin/v1/requests/" + Id);
   if (m_Json)
     std::cout << Request.dump(2) << "\n";
   else
@@ -126,11 +132,13 @@
 }
 
 void FleetCommands::drain(const std::string &Name) {
-  const auto At = Endpoint::parse(cellOf(findBox(Name).at("operators")));
-  if (!At)
-    throw CommandError(ExitCode::Failed, "no address for box " + Name);
-  checkAnswer(m_Api.at(*At).send(HttpMethod::Post, "/admin/v1/drain",
-                                 Json::object(), {}));
+  const auto Address =
+      Endpoint::parse(formatCell(findBox(Name).at("operators")));
+  if (!Address)
+    throw CommandError(ExitCode::Failed,
+                       "no valid operators' address for box " + Name);
+  checkAnswer(m_Api.forAddress(*Address).send(
+      HttpMethod::Post, "/admin/v1/drain", Json::object(), {}));
   std::cout << "Box " << Name << " hands over, finishes what runs, and ends.\n";
 }
 
--- a/packages/havenstair/request/LoadCommand.h
+++ b/packages/havenstair/request/LoadCommand.h
@@ -1,5 +1,6 @@
 /// \file
-/// `havenstair load`: a load generator towards the caller side.
+/// `havenstair load`: a load generator that sends requests to the callers'
+/// address of boxes.
 #ifndef HAVENSTAIR_HAVENSTAIR_REQUEST_LOADCOMMAND_H
 #define HAVENSTAIR_HAVENSTAIR_REQUEST_LOADCOMMAND_H
 
@@ -16,43 +17,50 @@
 
 namespace havenstair {
 
-/// What to send.
+/// What the load generator sends, and the targets that it checks.
 struct LoadOptions {
-  std::vector<Endpoint> m_Callers; ///< Boxes, taken in turn.
-  std::vector<std::string> m_Keys; ///< One for each group, taken in turn.
-  std::vector<std::string> m_Models;
-  double m_Rate = 10; ///< Requests a second outside bursts.
-  /// Factor of the rate within bursts, their length and their distance.
+  std::vector<Endpoint>
+      m_CallerAddresses;             ///< Addresses of boxes, used in turn.
+  std::vector<std::string> m_Keys;   ///< Bearer keys, used in turn.
+  std::vector<std::string> m_Models; ///< Drawn at random.
+  double m_Rate = 10;                ///< Requests per second outside bursts.
+  /// Factor by which the rate is higher during bursts.
   double m_BurstFactor = 1;
   Duration m_BurstLength = 1s;
-  Duration m_BurstEvery = 10s;
-  Duration m_Time = 10s;
-  int m_MaxTokens = 16;
-  bool m_Stream = true;
+  /// Time from the start of a burst to the start of the next; 0: no bursts.
+  Duration m_BurstPeriod = 10s;
+  Duration m_SendDuration = 10s; ///< How long requests are sent.
+  int m_MaxTokens = 16;          ///< Of each answer.
+  bool m_Stream = true;          ///< Asks for streamed answers.
   std::uint64_t m_Seed = 1;
-  Duration m_FirstTokenTarget = 680ms;
+  Duration m_FirstTokenTarget = 680ms; ///< Longest time to the first token.
+  /// Longest 95th percentile of the gaps between tokens.
   Duration m_BetweenTokensTarget = 77ms;
-  double m_LeastAttainment = 0; ///< Part of all requests; 0 asks nothing.
-  bool m_Json = false;
-  bool m_Progress = true;
+  /// Least fraction of the requests sent that must meet both targets.
+  double m_MinAttainment = 0;
+  bool m_Json = false;    ///< Prints the result as JSON.
+  bool m_Progress = true; ///< Prints progress to standard error.
 };
 
-/// Sends at random moments (a Poisson process) and measures each answer.
+/// Sends requests as a Poisson process and measures each answer.
 class LoadCommand {
 public:
   explicit LoadCommand(LoadOptions Opts);
   ~LoadCommand();
 
-  /// \throws CommandError when fewer answers met their targets than asked.
+  /// Sends for the duration in the options, waits for the last answers and
+  /// prints the result.
+  /// \throws CommandError when fewer than m_MinAttainment met their targets.
   void run();
 
 private:
-  struct Running;
+  struct InFlightRequest;
 
   void scheduleNext();
-  void sendOne();
-  void finished(const std::shared_ptr<Running> &Item, HttpEnd End);
-  double rateNow() const;
+  void sendRequest();
+  void onRequestEnd(const std::shared_ptr<InFlightRequest> &Request,
+                    HttpEnd End);
+  double currentRate() const;
   void showProgress() const;
   Json summary() const;
 
@@ -60,19 +68,20 @@
   EventLoop m_Loop;
   HttpClient m_Http;
   std::mt19937_64 m_Random;
-  TimePoint m_Began;
-  std::map<std::uint64_t, std::shared_ptr<Running>> m_Running;
+  TimePoint m_StartTime;
+  std::map<std::uint64_t, std::shared_ptr<InFlightRequest>> m_InFlight;
   std::uint64_t m_Sent = 0;
-  std::uint64_t m_Met = 0;
+  std::uint64_t m_TargetsMet = 0;
   std::map<std::string, std::uint64_t> m_Outcomes;
-  std::vector<double> m_FirstMs;
-  std::vector<double> m_GapMs;
-  std::vector<double> m_WholeMs;
-  Timer m_Next;
+  std::vector<double> m_FirstTokenMs;
+  std::vector<double> m_TokenGapsMs;
+  std::vector<double> m_TotalMs;
+  Timer m_NextSend;
 };
 
-/// Value below which the part \p Part of \p Values lies; 0 without values.
-double percentile(std::vector<double> Values, double Part);
+/// Returns the percentile of \p Values at \p Fraction (0 to 1); 0 without
+/// values.
+double percentile(std::vector<double> Values, double Fraction);
 
 } // namespace havenstair
 
--- a/packages/havenstair/request/LossesCommand.cpp
+++ b/packages/havenstair/request/LossesCommand.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-/// An estimate is close within this factor.
-constexpr double CloseFactor = 1.5;
+/// An estimate counts as accurate within this factor, up or down.
+constexpr double EstimateToleranceFactor = 1.5;
 
-/// Codes of refusals: the request has not run.
+/// Whether the outcome is a refusal, that is, the request has not run.
 bool isRefusal(const std::string &Outcome) {
   return Outcome == "overloaded" || Outcome == "no_resident_copy" ||
          Outcome == "no_upstream" || Outcome == "no_allowed_region" ||
@@ -22,22 +22,23 @@
          Outcome == "no_configuration" || Outcome == "deadline_passed";
 }
 
-/// Why a try was not served in time.
-std::string causeOf(const TryEnd &Try) {
+/// Returns why a try was not answered in time.
+std::string causeOf(const TryResult &Try) {
   if (!Try.served())
-    return Try.m_Judged.empty() || !isRefusal(Try.m_Outcome)
+    return Try.m_RefusalReason.empty() || !isRefusal(Try.m_Outcome)
                ? Try.m_Outcome
-               : Try.m_Outcome + "/" + Try.m_Judged;
-  if (Try.m_TriedBefore + Try.m_First <= Try.m_Target)
+               : Try.m_Outcome + "/" + Try.m_RefusalReason;
+  if (Try.m_EarlierTriesMs + Try.m_FirstTokenMs <= Try.m_FirstTokenTargetMs)
     return "pause";
-  if (Try.m_TriedBefore > 0)
+  if (Try.m_EarlierTriesMs > 0)
     return "late second try";
-  return Try.m_Expected > Try.m_Target ? "late as expected"
-                                       : "late against expectation";
+  return Try.m_ExpectedMs > Try.m_FirstTokenTargetMs
+             ? "late as expected"
+             : "late against expectation";
 }
 
-std::string groupOf(const TryEnd &Try, LossGrouping By) {
-  switch (By) {
+std::string groupOf(const TryResult &Try, LossGrouping Grouping) {
+  switch (Grouping) {
   case LossGrouping::Route:
     return Try.m_Route;
   case LossGrouping::Model:
@@ -50,19 +51,19 @@
   return {};
 }
 
-std::string fixed(double Value, int Digits) {
+std::string formatRounded(double Value, int Digits) {
   const double Scale = std::pow(10, Digits);
-  return cellOf(Json(std::round(Value * Scale) / Scale));
+  return formatCell(Json(std::round(Value * Scale) / Scale));
 }
 
-std::string topCauses(const LossSums &Of) {
-  constexpr std::size_t Shown = 3;
+std::string topCauses(const LossTotals &Totals) {
+  constexpr std::size_t MaxCauses = 3;
   std::vector<std::pair<std::size_t, std::string>> Ranked;
-  for (const auto &[Cause, Count] : Of.m_Causes)
+  for (const auto &[Cause, Count] : Totals.m_Causes)
     Ranked.emplace_back(Count, Cause);
   std::sort(Ranked.rbegin(), Ranked.rend());
   std::string Text;
-  for (std::size_t Rank = 0; Rank < std::min(Shown, Ranked.size()); ++Rank)
+  for (std::size_t Rank = 0; Rank < std::min(MaxCauses, Ranked.size()); ++Rank)
     Text += (Rank == 0 ? "" : ", ") + Ranked[Rank].second + " " +
             std::to_string(Ranked[Rank].first);
   return Text;
@@ -70,63 +71,70 @@
 
 } // namespace
 
-bool TryEnd::inTime() const {
-  return served() && m_TriedBefore + m_First <= m_Target &&
-         (m_GapTarget <= 0 || m_Gap <= m_GapTarget);
+bool TryResult::inTime() const {
+  return served() &&
+         m_EarlierTriesMs + m_FirstTokenMs <= m_FirstTokenTargetMs &&
+         (m_TokenGapTargetMs <= 0 || m_TokenGapMs <= m_TokenGapTargetMs);
 }
 
-std::optional<TryEnd> tryEndFrom(const std::string &Line) {
+std::optional<TryResult> parseTryResult(const std::string &Line) {
   const std::size_t Start = Line.find('{');
   if (Start == std::string::npos ||
       Line.find("answered\"") == std::string::npos)
     return std::nullopt;
   try {
-    const Json From = parseJson(Line.substr(Start));
-    const auto Event = fieldOr<std::string>(From, "event", "");
+    const Json Fields = parseJson(Line.substr(Start));
+    const auto Event = fieldOr<std::string>(Fields, "event", "");
     if (Event != "answered" && Event != "not_answered")
       return std::nullopt;
-    return TryEnd{.m_Time = fieldOr<long long>(From, "time", 0),
-                  .m_Route = fieldOr<std::string>(From, "route", ""),
-                  .m_Model = fieldOr<std::string>(From, "model", ""),
-                  .m_Organisation =
-                      fieldOr<std::string>(From, "organisation", ""),
-                  .m_Outcome = field<std::string>(From, "outcome"),
-                  .m_Judged = fieldOr<std::string>(From, "judged", ""),
-                  .m_TriedBefore = fieldOr<double>(From, "tried_before_ms", 0),
-                  .m_Expected = fieldOr<double>(From, "expected_ms", 0),
-                  .m_First = fieldOr<double>(From, "first_ms", 0),
-                  .m_Gap = fieldOr<double>(From, "gap_ms", 0),
-                  .m_Whole = fieldOr<double>(From, "whole_ms", 0),
-                  .m_Target = field<double>(From, "target_ms"),
-                  .m_GapTarget = fieldOr<double>(From, "gap_target_ms", 0),
-                  .m_Sends = fieldOr<int>(From, "sends", 0)};
+    return TryResult{
+        .m_Time = fieldOr<long long>(Fields, "time", 0),
+        .m_Route = fieldOr<std::string>(Fields, "route", ""),
+        .m_Model = fieldOr<std::string>(Fields, "model", ""),
+        .m_Organisation = fieldOr<std::string>(Fields, "organisation", ""),
+        .m_Outcome = field<std::string>(Fields, "outcome"),
+        .m_RefusalReason = fieldOr<std::string>(Fields, "judged", ""),
+        .m_EarlierTriesMs = fieldOr<double>(Fields, "tried_before_ms", 0),
+        .m_ExpectedMs = fieldOr<double>(Fields, "expected_ms", 0),
+        .m_FirstTokenMs = fieldOr<double>(Fields, "first_ms", 0),
+        .m_TokenGapMs = fieldOr<double>(Fields, "gap_ms", 0),
+        .m_TotalMs = fieldOr<double>(Fields, "whole_ms", 0),
+        .m_FirstTokenTargetMs = field<double>(Fields, "target_ms"),
+        .m_TokenGapTargetMs = fieldOr<double>(Fields, "gap_target_ms", 0),
+        .m_UpstreamAttempts = fieldOr<int>(Fields, "sends", 0)};
   } catch (const DecodeError &) {
-    // Something else wrote this line, or another version.
+    // Written by another program or by another version of the box.
     return std::nullopt;
   }
 }
 
-double creditOf(const TryEnd &Try, const CreditWeights &Weights) {
+double creditOf(const TryResult &Try, const CreditWeights &Weights) {
   if (Try.inTime())
     return 1;
   if (Try.served())
-    return Weights.m_Late;
-  const double Held =
-      Try.m_Target > 0 ? std::min(1.0, Try.m_Whole / Try.m_Target) : 1;
-  // Time at an upstream that failed is not the box's waiting.
-  const double Waiting = Try.m_Sends == 0 ? Weights.m_HeldForNothing * Held : 0;
-  return -Waiting - (Try.m_TriedBefore > 0 ? Weights.m_SecondFailure : 0);
+    return Weights.m_LateCredit;
+  const double WaitFraction =
+      Try.m_FirstTokenTargetMs > 0
+          ? std::min(1.0, Try.m_TotalMs / Try.m_FirstTokenTargetMs)
+          : 1;
+  // Time spent at an upstream that failed does not count as waiting.
+  const double WaitPenalty = Try.m_UpstreamAttempts == 0
+                                 ? Weights.m_UnservedWaitPenalty * WaitFraction
+                                 : 0;
+  return -WaitPenalty -
+         (Try.m_EarlierTriesMs > 0 ? Weights.m_RetryFailurePenalty : 0);
 }
 
-void LossSums::add(const TryEnd &Try, const CreditWeights &Weights) {
-  const bool Second = Try.m_TriedBefore > 0;
+void LossTotals::add(const TryResult &Try, const CreditWeights &Weights) {
+  const bool Second = Try.m_EarlierTriesMs > 0;
   ++(Second ? m_SecondTries : m_FirstTries);
   m_Credit += creditOf(Try, Weights);
-  if (Try.served() && Try.m_Expected > 0 && Try.m_First > 0) {
-    ++m_Estimated;
-    const double Ratio = Try.m_First / Try.m_Expected;
-    if (Ratio <= CloseFactor && Ratio >= 1 / CloseFactor)
-      ++m_Close;
+  if (Try.served() && Try.m_ExpectedMs > 0 && Try.m_FirstTokenMs > 0) {
+    ++m_Estimates;
+    const double Ratio = Try.m_FirstTokenMs / Try.m_ExpectedMs;
+    if (Ratio <= EstimateToleranceFactor &&
+        Ratio >= 1 / EstimateToleranceFactor)
+      ++m_AccurateEstimates;
   }
   if (Try.inTime()) {
     ++m_InTime;
@@ -137,26 +145,27 @@
     ++m_Late;
     return;
   }
-  m_HeldMs += Try.m_Whole;
+  m_UnservedWaitMs += Try.m_TotalMs;
   if (isRefusal(Try.m_Outcome))
     ++(Second ? m_RefusedSecond : m_RefusedFirst);
   else
     ++m_Failed;
 }
 
-std::size_t LossSums::callers() const {
-  // A second try follows one that was not served; any beyond those is a
-  // caller whose first try these logs do not tell of, or was misjudged.
+std::size_t LossTotals::callers() const {
+  // Each second try should follow an unserved try. A surplus comes from
+  // callers whose first try is not in these logs or was misclassified.
+  // Each of them counts as one more caller.
   const std::size_t Unserved = m_FirstTries + m_SecondTries - m_InTime - m_Late;
   return m_FirstTries +
          (m_SecondTries > Unserved ? m_SecondTries - Unserved : 0);
 }
 
-double LossSums::lost() const {
+double LossTotals::lost() const {
   return static_cast<double>(callers()) - m_Credit;
 }
 
-double LossSums::creditPerCaller() const {
+double LossTotals::creditPerCaller() const {
   return callers() == 0 ? 0 : m_Credit / static_cast<double>(callers());
 }
 
@@ -184,21 +193,22 @@
                                              "' is not table or json");
 }
 
-void addLosses(std::istream &Log, LossGrouping By, const CreditWeights &Weights,
-               LossTable &To) {
+void addLosses(std::istream &Log, LossGrouping Grouping,
+               const CreditWeights &Weights, LossTable &Losses) {
   std::string Line;
   while (std::getline(Log, Line))
-    if (const auto Try = tryEndFrom(Line))
-      To[groupOf(*Try, By)].add(*Try, Weights);
+    if (const auto Try = parseTryResult(Line))
+      Losses[groupOf(*Try, Grouping)].add(*Try, Weights);
 }
 
 namespace {
 
-/// Those that lost the most first.
-std::vector<const LossTable::value_type *> ranked(const LossTable &Losses) {
+/// Orders the groups by their loss, largest first.
+std::vector<const LossTable::value_type *>
+sortedByLoss(const LossTable &Losses) {
   std::vector<const LossTable::value_type *> Result;
-  for (const auto &Each : Losses)
-    Result.push_back(&Each);
+  for (const auto &Entry : Losses)
+    Result.push_back(&Entry);
   std::stable_sort(Result.begin(), Result.end(),
                    [](const auto *A, const auto *B) {
                      return A->second.lost() > B->second.lost();
@@ -210,23 +220,23 @@
 
 Json toJson(const LossTable &Losses) {
   Json Result = Json::array();
-  for (const auto *Each : ranked(Losses)) {
-    const auto &[Group, Sums] = *Each;
+  for (const auto *Entry : sortedByLoss(Losses)) {
+    const auto &[Group, Totals] = *Entry;
     Result.push_back({{"group", Group},
-                      {"callers", Sums.callers()},
-                      {"lost", Sums.lost()},
-                      {"first_tries", Sums.m_FirstTries},
-                      {"second_tries", Sums.m_SecondTries},
-                      {"in_time", Sums.m_InTime},
-                      {"late", Sums.m_Late},
-                      {"refused_first", Sums.m_RefusedFirst},
-                      {"refused_second", Sums.m_RefusedSecond},
-                      {"failed", Sums.m_Failed},
-                      {"held_unserved_ms", Sums.m_HeldMs},
-                      {"estimated", Sums.m_Estimated},
-                      {"estimates_close", Sums.m_Close},
-                      {"credit_per_caller", Sums.creditPerCaller()},
-                      {"causes", Sums.m_Causes}});
+                      {"callers", Totals.callers()},
+                      {"lost", Totals.lost()},
+                      {"first_tries", Totals.m_FirstTries},
+                      {"second_tries", Totals.m_SecondTries},
+                      {"in_time", Totals.m_InTime},
+                      {"late", Totals.m_Late},
+                      {"refused_first", Totals.m_RefusedFirst},
+                      {"refused_second", Totals.m_RefusedSecond},
+                      {"failed", Totals.m_Failed},
+                      {"held_unserved_ms", Totals.m_UnservedWaitMs},
+                      {"estimated", Totals.m_Estimates},
+                      {"estimates_close", Totals.m_AccurateEstimates},
+                      {"credit_per_caller", Totals.creditPerCaller()},
+                      {"causes", Totals.m_Causes}});
   }
   return Result;
 }
@@ -235,34 +245,37 @@
   TextTable Table({"group", "callers", "lost", "in time", "late", "refused",
                    "refused again", "failed", "held s", "estimates close",
                    "credit", "causes"});
-  for (const auto *Each : ranked(Losses)) {
-    const LossSums &Sums = Each->second;
-    const double Close = Sums.m_Estimated == 0
+  for (const auto *Entry : sortedByLoss(Losses)) {
+    const LossTotals &Totals = Entry->second;
+    const double Close = Totals.m_Estimates == 0
                              ? 0
-                             : static_cast<double>(Sums.m_Close) /
-                                   static_cast<double>(Sums.m_Estimated);
-    Table.add({Each->first, std::to_string(Sums.callers()),
-               fixed(Sums.lost(), 1), std::to_string(Sums.m_InTime),
-               std::to_string(Sums.m_Late), std::to_string(Sums.m_RefusedFirst),
-               std::to_string(Sums.m_RefusedSecond),
-               std::to_string(Sums.m_Failed), fixed(Sums.m_HeldMs / 1000, 1),
-               fixed(Close, 2), fixed(Sums.creditPerCaller(), 3),
-               topCauses(Sums)});
+                             : static_cast<double>(Totals.m_AccurateEstimates) /
+                                   static_cast<double>(Totals.m_Estimates);
+    Table.add({Entry->first, std::to_string(Totals.callers()),
+               formatRounded(Totals.lost(), 1), std::to_string(Totals.m_InTime),
+               std::to_string(Totals.m_Late),
+               std::to_string(Totals.m_RefusedFirst),
+               std::to_string(Totals.m_RefusedSecond),
+               std::to_string(Totals.m_Failed),
+               formatRounded(Totals.m_UnservedWaitMs / 1000, 1),
+               formatRounded(Close, 2),
+               formatRounded(Totals.creditPerCaller(), 3), topCauses(Totals)});
   }
   return Table.str();
 }
 
-void printLosses(const std::vector<std::string> &Files, LossGrouping By,
+void printLosses(const std::vector<std::string> &Files, LossGrouping Grouping,
                  const CreditWeights &Weights, LossFormat Format) {
   LossTable Losses;
   for (const std::string &Name : Files) {
     std::ifstream File(Name);
     if (!File)
       throw CommandError(ExitCode::BadUsage, "cannot read " + Name);
-    addLosses(File, By, Weights, Losses);
+    addLosses(File, Grouping, Weights, Losses);
   }
   if (Losses.empty())
-    throw CommandError(ExitCode::Failed, "no line tells of a request's end");
+    throw CommandError(ExitCode::Failed,
+                       "no line reports the end of a request");
   if (Format == LossFormat::Json)
     std::cout << dumpJson(toJson(Losses)) << "\n";
   else
--- a/packages/havenstair/request/LossesCommand.h
+++ b/packages/havenstair/request/LossesCommand.h
@@ -1,6 +1,6 @@
 /// \file
-/// `havenstair losses`: what callers lost and why, from the logs of several
-/// boxes. See docs/OPERATIONS.md.
+/// `havenstair losses`: sums up from the logs of several boxes how many
+/// requests were late, refused or failed, and why. See docs/OPERATIONS.md.
 #ifndef HAVENSTAIR_HAVENSTAIR_REQUEST_LOSSESCOMMAND_H
 #define HAVENSTAIR_HAVENSTAIR_REQUEST_LOSSESCOMMAND_H
 
@@ -15,92 +15,107 @@
 
 namespace havenstair {
 
-/// The last line that a box writes on a caller's try. Times in milliseconds.
-struct TryEnd {
-  long long m_Time = 0; ///< Since the Unix epoch.
+/// The result of one try of a caller, as the box logs it when the try ends. A
+/// caller that was not served may send its request again: a second try.
+struct TryResult {
+  long long m_Time = 0; ///< End of the try, in ms since the Unix epoch.
   std::string m_Route;
   std::string m_Model;
-  std::string m_Organisation; ///< Empty for nobody's.
-  std::string m_Outcome;      ///< "ok" or the code of an error.
-  std::string m_Judged;       ///< Why it was refused, by admission.
-  double m_TriedBefore = 0;
-  double m_Expected = 0;
-  double m_First = 0; ///< 0 when nothing came.
-  double m_Gap = 0;
-  double m_Whole = 0;
-  double m_Target = 0;
-  double m_GapTarget = 0; ///< 0 for any.
-  int m_Sends = 0;
-
-  bool operator==(const TryEnd &) const = default;
-
+  std::string m_Organisation;  ///< Empty when the caller has none.
+  std::string m_Outcome;       ///< "ok" or the code of the error.
+  std::string m_RefusalReason; ///< Reason that admission gave; empty if none.
+  /// Time in ms from the caller's first try to this one; 0 for a first try.
+  double m_EarlierTriesMs = 0;
+  double m_ExpectedMs = 0;   ///< Estimated time to the first token; 0 if none.
+  double m_FirstTokenMs = 0; ///< Time to the first token; 0 if none came.
+  double m_TokenGapMs = 0;   ///< Time between tokens, as the box logged it.
+  double m_TotalMs = 0;      ///< Duration of the whole try.
+  double m_FirstTokenTargetMs = 0; ///< Allowed time to the first token.
+  double m_TokenGapTargetMs = 0;   ///< Allowed time between tokens; 0: any.
+  int m_UpstreamAttempts = 0;      ///< How often it was sent to an upstream.
+
+  bool operator==(const TryResult &) const = default;
+
+  /// Whether the caller received a complete answer, in time or late.
   bool served() const { return m_Outcome == "ok"; }
-  /// Within the target, counted from the caller's first try.
+  /// Whether the answer met both targets. The time to the first token counts
+  /// from the caller's first try.
   bool inTime() const;
 };
 
-/// The try that \p Line ends; empty for other lines.
-std::optional<TryEnd> tryEndFrom(const std::string &Line);
+/// Parses a log line that reports the end of a try; empty for other lines.
+std::optional<TryResult> parseTryResult(const std::string &Line);
 
-/// What a try is worth to its caller.
+/// How the credit of a try that was not answered in time is computed.
 struct CreditWeights {
-  double m_Late = 0.3; ///< Of an answer that comes late; in time it is 1.
-  /// Taken off for waiting as long as the target without being served.
-  double m_HeldForNothing = 1;
-  /// Taken off when a caller that has come back is not served either.
-  double m_SecondFailure = 0.3;
+  double m_LateCredit = 0.3; ///< Of a late answer; one in time earns 1.
+  /// Subtracted for an unserved wait as long as the target or longer; shorter
+  /// waits cost their fraction of it.
+  double m_UnservedWaitPenalty = 1;
+  /// Subtracted when a second try is not served either.
+  double m_RetryFailurePenalty = 0.3;
 
   bool operator==(const CreditWeights &) const = default;
 };
 
-/// The strict credit of one try. A refusal earns nothing, whenever it comes.
-double creditOf(const TryEnd &Try, const CreditWeights &Weights);
+/// Returns the credit of one try. A refusal earns nothing, however early it
+/// comes.
+double creditOf(const TryResult &Try, const CreditWeights &Weights);
 
-/// Sums over the tries of one group.
-struct LossSums {
+/// Totals over the tries of one group of a LossTable.
+struct LossTotals {
   std::size_t m_FirstTries = 0;
   std::size_t m_SecondTries = 0;
-  std::size_t m_InTime = 0;
-  std::size_t m_Late = 0;
-  std::size_t m_RefusedFirst = 0;
-  std::size_t m_RefusedSecond = 0;
-  std::size_t m_Failed = 0;
-  double m_HeldMs = 0;         ///< Of tries that were not served.
-  std::size_t m_Estimated = 0; ///< First tokens that were expected.
-  std::size_t m_Close = 0;     ///< Of them within a factor of 1.5.
-  double m_Credit = 0;
-  std::map<std::string, std::size_t> m_Causes; ///< Of what was not in time.
-
-  void add(const TryEnd &Try, const CreditWeights &Weights);
-  /// Callers, not their tries: no more credit can be owed than one each.
+  std::size_t m_InTime = 0;        ///< Tries answered within both targets.
+  std::size_t m_Late = 0;          ///< Tries answered, but not in time.
+  std::size_t m_RefusedFirst = 0;  ///< First tries refused before they ran.
+  std::size_t m_RefusedSecond = 0; ///< Second tries refused before they ran.
+  std::size_t m_Failed = 0;        ///< Tries that ended in another error.
+  double m_UnservedWaitMs = 0;     ///< Duration of all unserved tries.
+  std::size_t m_Estimates = 0;     ///< Served tries that had an estimate.
+  std::size_t m_AccurateEstimates = 0; ///< Estimates within a factor of 1.5.
+  double m_Credit = 0;                 ///< Sum of creditOf() over all tries.
+  std::map<std::string, std::size_t>
+      m_Causes; ///< Number of tries not in time, by cause.
+
+  /// Adds one try to every total.
+  void add(const TryResult &Try, const CreditWeights &Weights);
+  /// Number of callers. A caller with two tries counts once, since it can earn
+  /// at most one credit.
   std::size_t callers() const;
-  /// Credit that callers went without, and what waiting cost them besides.
+  /// Difference between one credit for each caller and the credit earned,
+  /// which is negative for unserved waits.
   double lost() const;
-  /// Strict credit for each caller, 1 at most; 0 without any.
+  /// Average credit of a caller, at most 1; 0 without callers.
   double creditPerCaller() const;
 };
 
+/// What the tries are grouped by; Second is the second in which a try ended.
 enum class LossGrouping { Route, Model, Organisation, Second };
+/// Output format of `havenstair losses`.
 enum class LossFormat { Table, Json };
 
-/// \throws CommandError for another word.
+/// Parses the value of `--by`. \throws CommandError for an unknown value.
 LossGrouping parseLossGrouping(std::string_view Text);
+/// Parses the value of `--format`. \throws CommandError for an unknown value.
 LossFormat parseLossFormat(std::string_view Text);
 
-using LossTable = std::map<std::string, LossSums>;
+/// Totals by the name of the group.
+using LossTable = std::map<std::string, LossTotals>;
 
-/// Adds the tries of \p Log to \p To.
-void addLosses(std::istream &Log, LossGrouping By, const CreditWeights &Weights,
-               LossTable &To);
+/// Adds the tries that \p Log reports to \p Losses; skips other lines.
+void addLosses(std::istream &Log, LossGrouping Grouping,
+               const CreditWeights &Weights, LossTable &Losses);
 
-/// For programs, in the same order.
+/// Formats the table for programs, in the order of toText().
 Json toJson(const LossTable &Losses);
-/// For people; the groups that lost the most first.
+/// Formats the table for people; the groups with the largest loss come first.
 std::string toText(const LossTable &Losses);
 
-/// Prints the losses told by \p Files.
-/// \throws CommandError when a file cannot be read or tells of no try.
-void printLosses(const std::vector<std::string> &Files, LossGrouping By,
+/// Prints the losses that the log files \p Files report.
+/// \throws CommandError when a file cannot be read or no line reports the end
+/// of a request.
+void printLosses(const std::vector<std::string> &Files, LossGrouping Grouping,
                  const CreditWeights &Weights, LossFormat Format);
 
 } // namespace havenstair
--- a/packages/havenstair/request/TraceCommand.cpp
+++ b/packages/havenstair/request/TraceCommand.cpp
@@ -13,11 +13,11 @@
 std::string describe(const Json &Line) {
   std::string Text = fieldOr<std::string>(Line, "event", "?");
   for (const auto &[Name, Value] : Line.items()) {
-    const bool Known = Name == "event" || Name == "request" || Name == "time" ||
-                       Name == "up_ms";
+    const bool Omitted = Name == "event" || Name == "request" ||
+                         Name == "time" || Name == "up_ms";
     const bool Blank =
         Value.is_string() && Value.get_ref<const std::string &>().empty();
-    if (Known || Blank)
+    if (Omitted || Blank)
       continue;
     Text += "  " + Name + "=" +
             (Value.is_string() ? Value.get<std::string>() : dumpJson(Value));
@@ -43,7 +43,7 @@
                         .m_Source = Source,
                         .m_Text = describe(Line)});
     } catch (const DecodeError &) {
-      // Something else wrote this line.
+      // Not JSON: written by another program.
     }
   }
   return Result;
@@ -59,7 +59,8 @@
     All.insert(All.end(), Lines.begin(), Lines.end());
   }
   if (All.empty())
-    throw CommandError(ExitCode::Failed, "no line names the request " + Id);
+    throw CommandError(ExitCode::Failed,
+                       "no log line belongs to request " + Id);
   std::stable_sort(All.begin(), All.end(),
                    [](const TraceLine &A, const TraceLine &B) {
                      return A.m_Time < B.m_Time;
--- a/packages/havenstair/request/TraceCommand.h
+++ b/packages/havenstair/request/TraceCommand.h
@@ -1,5 +1,6 @@
 /// \file
-/// `havenstair trace`: the story of one request from the logs of several boxes.
+/// `havenstair trace`: prints the log lines of one request from the logs of
+/// several boxes, in order of time.
 #ifndef HAVENSTAIR_HAVENSTAIR_REQUEST_TRACECOMMAND_H
 #define HAVENSTAIR_HAVENSTAIR_REQUEST_TRACECOMMAND_H
 
@@ -9,22 +10,22 @@
 
 namespace havenstair {
 
-/// One log line that names the request.
+/// One log line of the request.
 struct TraceLine {
   long long m_Time = 0; ///< Milliseconds since the Unix epoch.
-  std::string m_Source; ///< Where the line was read.
-  std::string m_Text;   ///< Event and fields, for a person.
+  std::string m_Source; ///< Name of the log that the line is from.
+  std::string m_Text;   ///< Event and fields, formatted for people.
 
   auto operator<=>(const TraceLine &) const = default;
 };
 
-/// The lines of \p Log that name the request \p Id. Lines that are no JSON, or
-/// that something else has put words before, are borne.
+/// Returns the lines of \p Log whose request is \p Id. Text before the JSON
+/// object of a line is ignored, and lines without valid JSON are skipped.
 std::vector<TraceLine> traceLines(std::istream &Log, const std::string &Source,
                                   const std::string &Id);
 
 /// Prints the lines of all \p Files in order of time.
-/// \throws CommandError when a file cannot be read or no line names \p Id.
+/// \throws CommandError when a file cannot be read or no line belongs to \p Id.
 void printTrace(const std::string &Id, const std::vector<std::string> &Files);
 
 } // namespace havenstair
--- a/packages/havenstair/version/TableCommands.cpp
+++ b/packages/havenstair/version/TableCommands.cpp
@@ -16,7 +16,7 @@
 const std::string ModelsPath = "/admin/v1/models";
 const std::string GroupPath = "/admin/v1/groups/";
 
-/// Cells that an operator edits; the rest is bookkeeping.
+/// Cells that an operator may edit; the others are the row's bookkeeping.
 const std::vector<std::string> EditableCells{
     "weight",         "requests_per_second", "concurrency", "tokens_per_second",
     "first_token_ms", "between_tokens_ms",   "models",      "services",
@@ -36,7 +36,8 @@
           "\"" + std::to_string(field<TableVersion>(Row, "version")) + "\""};
 }
 
-/// Lets the CSV reader parse the cell, so that both forms read alike.
+/// Parses the cell with the CSV reader, so that a cell on the command line has
+/// the same syntax as in a file.
 Json cellValue(const CellEdit &Edit) {
   std::string Quoted = Edit.m_Text;
   for (std::size_t At = 0; (At = Quoted.find('"', At)) != std::string::npos;
@@ -69,14 +70,15 @@
   TextTable Out({"GROUP", "WEIGHT", "REQ/S", "CONC", "TOK/S", "FIRST MS",
                  "BETWEEN MS", "MODELS", "SERVICES", "KEYS", "VERSION"});
   for (const Json &Row : Answer.at("rows"))
-    Out.add({cellOf(Row.at("group")), cellOf(Row.at("weight")),
-             cellOf(Row.at("requests_per_second")),
-             cellOf(Row.at("concurrency")), cellOf(Row.at("tokens_per_second")),
-             cellOf(Row.at("first_token_ms")),
-             cellOf(Row.at("between_tokens_ms")), cellOf(Row.at("models")),
-             cellOf(Row.at("services")),
+    Out.add({formatCell(Row.at("group")), formatCell(Row.at("weight")),
+             formatCell(Row.at("requests_per_second")),
+             formatCell(Row.at("concurrency")),
+             formatCell(Row.at("tokens_per_second")),
+             formatCell(Row.at("first_token_ms")),
+             formatCell(Row.at("between_tokens_ms")),
+             formatCell(Row.at("models")), formatCell(Row.at("services")),
              std::to_string(Row.at("key_hashes").size()),
-             cellOf(Row.at("version"))});
+             formatCell(Row.at("version"))});
   std::cout << Out.str();
 }
 
@@ -146,7 +148,7 @@
   report("Removed " + Group, Answer);
 }
 
-/// \returns whether the row differs from what is in force.
+/// \returns whether the row differs from the current table.
 bool TableCommands::importRow(const Json &Wanted, const Json &Current,
                               bool DryRun) {
   const std::string Group = field<std::string>(Wanted, "group");
@@ -154,8 +156,8 @@
   for (const std::string &Cell : EditableCells)
     if (Current.is_null() || Wanted.at(Cell) != Current.at(Cell))
       Differences += "  " + Cell + ": " +
-                     (Current.is_null() ? "" : cellOf(Current.at(Cell))) +
-                     " -> " + cellOf(Wanted.at(Cell)) + "\n";
+                     (Current.is_null() ? "" : formatCell(Current.at(Cell))) +
+                     " -> " + formatCell(Wanted.at(Cell)) + "\n";
   if (Differences.empty())
     return false;
   if (!m_Json)
@@ -182,7 +184,8 @@
   int Changed = 0;
   for (const GroupRow &Row : Rows) {
     const Json Current = findRow(Row.m_Group.str());
-    // The version of the file is what the operator saw.
+    // The version in the file is the one that the operator exported. If the
+    // table has another by now, writing would undo someone else's change.
     if (!Current.is_null() && Row.m_Version != 0 &&
         Row.m_Version != field<TableVersion>(Current, "version"))
       throw CommandError(ExitCode::Conflict,
@@ -205,9 +208,9 @@
     return;
   }
   TextTable Out({"MODEL", "SIZE MIB", "BASE"});
-  for (const Json &Each : Answer.at("models"))
-    Out.add({cellOf(Each.at("name")), cellOf(Each.at("size_mib")),
-             cellOf(Each.at("base"))});
+  for (const Json &Model : Answer.at("models"))
+    Out.add({formatCell(Model.at("name")), formatCell(Model.at("size_mib")),
+             formatCell(Model.at("base"))});
   std::cout << Out.str();
 }
 
--- a/tests/commands/LossesCommandTest.cpp
+++ b/tests/commands/LossesCommandTest.cpp
@@ -7,54 +7,55 @@
 
 namespace {
 
-TryEnd inTime() {
+TryResult inTime() {
   return {.m_Route = "chat",
           .m_Outcome = "ok",
-          .m_Expected = 100,
-          .m_First = 120,
-          .m_Whole = 900,
-          .m_Target = 800,
-          .m_GapTarget = 400,
-          .m_Sends = 1};
+          .m_ExpectedMs = 100,
+          .m_FirstTokenMs = 120,
+          .m_TotalMs = 900,
+          .m_FirstTokenTargetMs = 800,
+          .m_TokenGapTargetMs = 400,
+          .m_UpstreamAttempts = 1};
 }
 
-TryEnd refused(double AfterMs) {
-  TryEnd Try = inTime();
+TryResult refused(double AfterMs) {
+  TryResult Try = inTime();
   Try.m_Outcome = "overloaded";
-  Try.m_Judged = "overloaded";
-  Try.m_First = 0;
-  Try.m_Whole = AfterMs;
-  Try.m_Sends = 0;
+  Try.m_RefusalReason = "overloaded";
+  Try.m_FirstTokenMs = 0;
+  Try.m_TotalMs = AfterMs;
+  Try.m_UpstreamAttempts = 0;
   return Try;
 }
 
 } // namespace
 
-TEST_CASE("An answer counts from the caller's first try", "[losses]") {
-  TryEnd Try = inTime();
+TEST_CASE("Time to first token counts from the caller's first try",
+          "[losses]") {
+  TryResult Try = inTime();
   REQUIRE(creditOf(Try, {}) == 1);
-  SECTION("a second try that is late by then") {
-    Try.m_TriedBefore = 700;
+  SECTION("an answer to a second try can be late") {
+    Try.m_EarlierTriesMs = 700;
     REQUIRE(creditOf(Try, {}) == Approx(0.3));
   }
-  SECTION("a pause that is too long") {
-    Try.m_Gap = 500;
+  SECTION("a gap between tokens above its target is late") {
+    Try.m_TokenGapMs = 500;
     REQUIRE(creditOf(Try, {}) == Approx(0.3));
   }
   SECTION("the weight of late answers is a setting") {
-    Try.m_First = 900;
-    REQUIRE(creditOf(Try, {.m_Late = 0.5}) == Approx(0.5));
+    Try.m_FirstTokenMs = 900;
+    REQUIRE(creditOf(Try, {.m_LateCredit = 0.5}) == Approx(0.5));
   }
 }
 
-TEST_CASE("Waiting for nothing costs by its length, without steps",
+TEST_CASE("An unserved wait costs credit in proportion to its length",
           "[losses]") {
   REQUIRE(creditOf(refused(0), {}) == 0);
   REQUIRE(creditOf(refused(200), {}) == Approx(-0.25));
   REQUIRE(creditOf(refused(400), {}) == Approx(-0.5));
   REQUIRE(creditOf(refused(9000), {}) == Approx(-1));
-  TryEnd Second = refused(0);
-  Second.m_TriedBefore = 1000;
+  TryResult Second = refused(0);
+  Second.m_EarlierTriesMs = 1000;
   REQUIRE(creditOf(Second, {}) == Approx(-0.3));
 }
 
@@ -75,12 +76,12 @@
   };
   const LossTable ByRoute = Table(LossGrouping::Route);
   REQUIRE(ByRoute.size() == 2);
-  const LossSums &Chat = ByRoute.at("chat");
+  const LossTotals &Chat = ByRoute.at("chat");
   REQUIRE(Chat.m_FirstTries == 2);
   REQUIRE(Chat.m_InTime == 1);
   REQUIRE(Chat.m_RefusedFirst == 1);
-  REQUIRE(Chat.m_Close == 1);
-  REQUIRE(Chat.m_HeldMs == 400);
+  REQUIRE(Chat.m_AccurateEstimates == 1);
+  REQUIRE(Chat.m_UnservedWaitMs == 400);
   REQUIRE(Chat.creditPerCaller() == Approx(0.25));
   REQUIRE(Chat.m_Causes.at("no_resident_copy/not_loaded") == 1);
   REQUIRE(ByRoute.at("plan").m_RefusedSecond == 1);
@@ -95,33 +96,33 @@
 
 TEST_CASE("No group earns more than one credit for each caller",
           "[losses][property]") {
-  rc::prop("credit of 1 at most, whatever is taken for a second try", [] {
-    LossSums Sums;
+  rc::prop("credit is at most 1 even with unmatched second tries", [] {
+    LossTotals Totals;
     for (int Try = *drawn(1, 40); Try > 0; --Try) {
-      TryEnd End = *rc::gen::arbitrary<bool>() ? inTime() : refused(0);
-      // Also those whose first try was never seen.
-      End.m_TriedBefore = *drawn(0, 3) * 10;
-      Sums.add(End, {});
+      TryResult Result = *rc::gen::arbitrary<bool>() ? inTime() : refused(0);
+      // Includes callers whose first try is not in the logs.
+      Result.m_EarlierTriesMs = *drawn(0, 3) * 10;
+      Totals.add(Result, {});
     }
-    RC_ASSERT(Sums.creditPerCaller() <= 1);
-    RC_ASSERT(Sums.callers() >= Sums.m_InTime + Sums.m_Late);
-    RC_ASSERT(Sums.lost() >= -1e-9);
+    RC_ASSERT(Totals.creditPerCaller() <= 1);
+    RC_ASSERT(Totals.callers() >= Totals.m_InTime + Totals.m_Late);
+    RC_ASSERT(Totals.lost() >= -1e-9);
   });
 }
 
-TEST_CASE("A caller that is served at the second try is one caller",
+TEST_CASE("A caller served at the second try counts as one caller",
           "[losses]") {
-  LossSums Sums;
-  Sums.add(refused(0), {});
-  TryEnd Second = inTime();
-  Second.m_TriedBefore = 500;
-  Sums.add(Second, {});
-  REQUIRE(Sums.callers() == 1);
-  REQUIRE(Sums.creditPerCaller() == 1);
-  REQUIRE(Sums.lost() == 0);
+  LossTotals Totals;
+  Totals.add(refused(0), {});
+  TryResult Second = inTime();
+  Second.m_EarlierTriesMs = 500;
+  Totals.add(Second, {});
+  REQUIRE(Totals.callers() == 1);
+  REQUIRE(Totals.creditPerCaller() == 1);
+  REQUIRE(Totals.lost() == 0);
 }
 
-TEST_CASE("What lost the most comes first, for people and programs",
+TEST_CASE("Groups are ordered by loss, largest first, as text and JSON",
           "[losses]") {
   LossTable Losses;
   Losses["a"].add(inTime(), {});
@@ -138,7 +139,7 @@
   REQUIRE(Text.find("\nb ") < Text.find("\na "));
 }
 
-TEST_CASE("Another grouping or format is refused", "[losses]") {
+TEST_CASE("An unknown grouping or format is refused", "[losses]") {
   REQUIRE(parseLossFormat("json") == LossFormat::Json);
   REQUIRE_THROWS_AS(parseLossFormat("xml"), CommandError);
   REQUIRE(parseLossGrouping("model") == LossGrouping::Model);
--- a/tests/commands/TraceCommandTest.cpp
+++ b/tests/commands/TraceCommandTest.cpp
@@ -5,7 +5,7 @@
 
 using namespace havenstair;
 
-TEST_CASE("A trace has the lines of its request and no others", "[trace]") {
+TEST_CASE("A trace contains only the lines of its request", "[trace]") {
   std::istringstream Log(
       R"(  0.5 box-1 {"event":"sent","request":"id-1","time":20,"upstream":"u"}
 not a line {"half
