--- a/packages/havenstair/request/LoadCommand.h
+++ b/packages/havenstair/request/LoadCommand.h
@@ -19,8 +19,8 @@
 
 /// What the load generator sends, and the targets that it checks.
 struct LoadOptions {
-  std::vector<Endpoint>
-      m_CallerAddresses;             ///< Addresses of boxes, used in turn.
+  /// Addresses of boxes that the requests are sent to, in turn.
+  std::vector<Endpoint> m_CallerAddresses;
   std::vector<std::string> m_Keys;   ///< Bearer keys, used in turn.
   std::vector<std::string> m_Models; ///< Drawn at random.
   double m_Rate = 10;                ///< Requests per second outside bursts.
--- a/packages/havenstair/request/LossesCommand.h
+++ b/packages/havenstair/request/LossesCommand.h
@@ -18,9 +18,9 @@
 /// The result of one try of a caller, as the box logs it when the try ends. A
 /// caller that was not served may send its request again: a second try.
 struct TryResult {
-  long long m_Time = 0; ///< End of the try, in ms since the Unix epoch.
-  std::string m_Route;
-  std::string m_Model;
+  long long m_Time = 0;        ///< End of the try, in ms since the Unix epoch.
+  std::string m_Route;         ///< Name of the route.
+  std::string m_Model;         ///< Empty for a request without a model.
   std::string m_Organisation;  ///< Empty when the caller has none.
   std::string m_Outcome;       ///< "ok" or the code of the error.
   std::string m_RefusalReason; ///< Reason that admission gave; empty if none.
@@ -64,8 +64,8 @@
 
 /// Totals over the tries of one group of a LossTable.
 struct LossTotals {
-  std::size_t m_FirstTries = 0;
-  std::size_t m_SecondTries = 0;
+  std::size_t m_FirstTries = 0;    ///< Tries with m_EarlierTriesMs of 0.
+  std::size_t m_SecondTries = 0;   ///< All later tries.
   std::size_t m_InTime = 0;        ///< Tries answered within both targets.
   std::size_t m_Late = 0;          ///< Tries answered, but not in time.
   std::size_t m_RefusedFirst = 0;  ///< First tries refused before they ran.
@@ -75,8 +75,8 @@
   std::size_t m_Estimates = 0;     ///< Served tries that had an estimate.
   std::size_t m_AccurateEstimates = 0; ///< Estimates within a factor of 1.5.
   double m_Credit = 0;                 ///< Sum of creditOf() over all tries.
-  std::map<std::string, std::size_t>
-      m_Causes; ///< Number of tries not in time, by cause.
+  /// Number of tries not answered in time, by cause.
+  std::map<std::string, std::size_t> m_Causes;
 
   /// Adds one try to every total.
   void add(const TryResult &Try, const CreditWeights &Weights);
