--- a/packages/gateway/request/ProxiedRequest.cpp
+++ b/packages/gateway/request/ProxiedRequest.cpp
@@ -160,7 +160,7 @@
   m_Waiting = false;
   if (!withinQuota(Now))
     return;
-  if (const auto Delay = pacingDelay(*Chosen, Now)) {
+  if (const auto Delay = promptDelay(*Chosen, Now)) {
     m_PaceTimer = m_Owner.m_Loop.after(*Delay, [Weak = weak_from_this()] {
       if (const auto Self = Weak.lock())
         Self->resume();
@@ -223,7 +223,7 @@
 /// \returns how long to wait before a prompt is read beside running streams;
 /// empty if there is no need to wait. Streams pause while a prompt is read, so
 /// prompts are spread out.
-std::optional<Duration> ProxiedRequest::pacingDelay(const ChosenReplica &Chosen,
+std::optional<Duration> ProxiedRequest::promptDelay(const ChosenReplica &Chosen,
                                                     TimePoint Now) const {
   const PacingFacts Facts{.m_GapTarget = m_Route.m_GapTarget,
                           .m_Target = m_Route.m_Target,
--- a/packages/gateway/request/ProxiedRequest.h
+++ b/packages/gateway/request/ProxiedRequest.h
@@ -73,7 +73,7 @@
   bool refuseIfBound(const std::optional<ChosenReplica> &Chosen, TimePoint Now);
   bool refuseIfBackedOff(const std::optional<ChosenReplica> &Chosen,
                          TimePoint Now);
-  std::optional<Duration> pacingDelay(const ChosenReplica &Chosen,
+  std::optional<Duration> promptDelay(const ChosenReplica &Chosen,
                                       TimePoint Now) const;
   AdmissionFacts admissionFacts(const std::optional<ChosenReplica> &Chosen,
                                 TimePoint Now) const;
