--- a/packages/decisions/process/AdapterPlanner.cpp
+++ b/packages/decisions/process/AdapterPlanner.cpp
@@ -87,7 +87,7 @@
     for (const ResidentModel &Model : At.m_Ledger->models())
       for (const std::string &Adapter : Model.m_Adapters) {
         const AdapterKey Key{Model.m_Name, Adapter};
-        if (At.m_Fresh.contains(Key))
+        if (At.m_RecentlyLoaded.contains(Key))
           continue;
         if (!LeastWanted || ratePerCopy(Key) < ratePerCopy(*LeastWanted))
           LeastWanted = Key;
--- a/packages/decisions/process/AdapterPlanner.h
+++ b/packages/decisions/process/AdapterPlanner.h
@@ -30,7 +30,7 @@
   std::set<std::string> m_Retiring;
   /// Adapters loaded a moment ago; they are not evicted, as requests wait for
   /// them.
-  std::set<AdapterKey> m_Fresh;
+  std::set<AdapterKey> m_RecentlyLoaded;
 };
 
 /// An order to load or unload an adapter on one engine.
--- a/packages/decisions/process/ConfigFetchPolicy.cpp
+++ b/packages/decisions/process/ConfigFetchPolicy.cpp
@@ -8,20 +8,20 @@
                                      const PeerVersions &Versions,
                                      TimePoint Now) {
   const ConfigVersion Version = std::max(Versions.m_Held, Versions.m_Known);
-  const bool News = Version > m_Newest.m_Version;
+  const bool Newer = Version > m_Newest.m_Version;
   // Counted from the first version that the box lacks: if each newer one
   // restarted the waits, the box would get none of a quick series.
-  if (News && m_Newest.m_Version <= m_Known) {
+  if (Newer && m_Newest.m_Version <= m_Known) {
     m_BehindSince = Now;
     m_TryingSince = Now;
   }
-  if (News)
+  if (Newer)
     m_Newest = {.m_Version = Version, .m_By = From, .m_At = Now};
   if (Versions.m_Held > m_Held) {
     m_Held = Versions.m_Held;
     m_Source = From;
   }
-  return News;
+  return Newer;
 }
 
 void ConfigFetchPolicy::forget(const BoxName &Box) {
--- a/packages/decisions/process/CrashTracker.cpp
+++ b/packages/decisions/process/CrashTracker.cpp
@@ -242,8 +242,8 @@
   RequestQuarantine Quarantine{
       .m_By = By, .m_Since = Now, .m_Until = Now + m_Opts.m_QuarantineDuration};
   for (const UpstreamIncarnation &Upstream : m_CrashesByRequest.at(Request))
-    if (Quarantine.m_Servers.size() < MaxNamedUpstreams)
-      Quarantine.m_Servers.push_back(Upstream.m_Id);
+    if (Quarantine.m_Upstreams.size() < MaxNamedUpstreams)
+      Quarantine.m_Upstreams.push_back(Upstream.m_Id);
   insertQuarantine(Request, std::move(Quarantine));
 }
 
--- a/packages/decisions/process/CrashTracker.h
+++ b/packages/decisions/process/CrashTracker.h
@@ -19,7 +19,7 @@
 /// them.
 struct RequestQuarantine {
   /// Some of the upstreams that crashed while they ran it.
-  std::vector<InstanceId> m_Servers;
+  std::vector<InstanceId> m_Upstreams;
   /// The box that quarantined it first.
   BoxName m_By;
   /// When the quarantine began, by this box's clock.
--- a/packages/decisions/process/LateOrders.cpp
+++ b/packages/decisions/process/LateOrders.cpp
@@ -7,9 +7,10 @@
   m_Orders.push_back({.m_Order = Order, .m_Expected = Expected, .m_At = Now});
 }
 
-void LateOrders::expire(Duration Life, TimePoint Now) {
-  std::erase_if(m_Orders,
-                [&](const LateOrder &Each) { return Now - Each.m_At > Life; });
+void LateOrders::expire(Duration MaxAge, TimePoint Now) {
+  std::erase_if(m_Orders, [&](const LateOrder &Each) {
+    return Now - Each.m_At > MaxAge;
+  });
 }
 
 std::set<ResidencyOrder> LateOrders::loads(std::uint64_t Count) const {
--- a/packages/decisions/process/LateOrders.h
+++ b/packages/decisions/process/LateOrders.h
@@ -22,8 +22,8 @@
   /// Records that a call with \p Order, which expects the order count \p
   /// Expected, ended without an answer.
   void add(const ResidencyOrder &Order, std::uint64_t Expected, TimePoint Now);
-  /// Forgets calls that ended longer than \p Life ago.
-  void expire(Duration Life, TimePoint Now);
+  /// Forgets calls that ended longer than \p MaxAge ago.
+  void expire(Duration MaxAge, TimePoint Now);
   /// Loads that a later incarnation may carry out.
   std::set<ResidencyOrder> loads() const { return loads(0); }
   /// Loads that an incarnation whose order count is \p Count may still carry
--- a/packages/decisions/process/PermitIssuer.cpp
+++ b/packages/decisions/process/PermitIssuer.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Longest retry time that a caller is told; callers give up before.
+/// Longest retry time that a caller is given; callers give up before.
 constexpr Duration MaxRetryAfter = 30s;
 
 /// Boxes that may issue permits for one upstream at the same time.
@@ -21,15 +21,15 @@
 
 } // namespace
 
-double busyFraction(double LimitPerS, double WorkMs) {
+double busyFraction(double LimitPerSecond, double WorkMs) {
   constexpr double MinFraction = 0.01;
-  return std::clamp(LimitPerS * WorkMs / 1000, MinFraction, 1.0);
+  return std::clamp(LimitPerSecond * WorkMs / 1000, MinFraction, 1.0);
 }
 
-std::optional<BoxName> admitterOf(const InstanceId &Upstream,
-                                  const std::set<BoxName> &Relays,
-                                  const std::set<BoxName> &Reached,
-                                  Quorum Needed) {
+std::optional<BoxName> issuerOf(const InstanceId &Upstream,
+                                const std::set<BoxName> &Relays,
+                                const std::set<BoxName> &Reached,
+                                Quorum Needed) {
   std::vector<BoxName> Candidates;
   std::set_intersection(Relays.begin(), Relays.end(), Reached.begin(),
                         Reached.end(), std::back_inserter(Candidates));
@@ -42,7 +42,7 @@
 }
 
 PermitIssuer::IssueRecord
-PermitIssuer::newRecord(const AdmittedUpstream &Upstream, TimePoint Now) {
+PermitIssuer::newRecord(const IssuerAssignment &Upstream, TimePoint Now) {
   const bool OnlyIssuer =
       Upstream.m_BoundSince && Now - *Upstream.m_BoundSince <= NewLimitAge;
   return {.m_First = Upstream.m_First,
@@ -53,7 +53,7 @@
 }
 
 void PermitIssuer::setUpstreams(
-    const std::map<InstanceId, AdmittedUpstream> &Upstreams, TimePoint Now) {
+    const std::map<InstanceId, IssuerAssignment> &Upstreams, TimePoint Now) {
   std::erase_if(m_Records, [&](const auto &Each) {
     return !Upstreams.contains(Each.first);
   });
@@ -72,8 +72,8 @@
   return static_cast<std::size_t>(std::max(1.0, std::min(Half, Rate)));
 }
 
-PermitWindow PermitIssuer::limitWindow(double LimitPerS, double Fraction) {
-  const double Rate = Fraction * std::max(MinRatePerSecond, LimitPerS);
+PermitWindow PermitIssuer::limitWindow(double LimitPerSecond, double Fraction) {
+  const double Rate = Fraction * std::max(MinRatePerSecond, LimitPerSecond);
   const double Burst =
       std::max(MinBurst, std::floor(Rate * inSeconds(BurstPeriod)));
   return {.m_Most = static_cast<std::size_t>(Burst),
@@ -88,11 +88,11 @@
   PermitWindow Cold{.m_Most = 1, .m_Length = Window};
   if (Bound.m_Cold)
     Cold.m_Most = perWindow(*Bound.m_Cold);
-  if (!Bound.m_LimitPerS)
+  if (!Bound.m_LimitPerSecond)
     return Cold;
   const bool FullRate = Record.m_First && Now >= Record.m_FullRateFrom;
   const PermitWindow Limit =
-      limitWindow(*Bound.m_LimitPerS, FullRate ? 1 : StandbyFraction);
+      limitWindow(*Bound.m_LimitPerSecond, FullRate ? 1 : StandbyFraction);
   return Bound.m_Cold && Cold.rate() < Limit.rate() ? Cold : Limit;
 }
 
--- a/packages/decisions/process/PermitIssuer.h
+++ b/packages/decisions/process/PermitIssuer.h
@@ -21,15 +21,15 @@
 struct SendBound {
   std::optional<WarmUpSpec> m_Cold; ///< Set while the upstream is cold.
   /// Requests per second, when the upstream advertises a limit.
-  std::optional<double> m_LimitPerS;
+  std::optional<double> m_LimitPerSecond;
 
   bool operator==(const SendBound &) const = default;
 };
 
-/// The fraction of time in which an upstream that advertises \p LimitPerS
+/// The fraction of time in which an upstream that advertises \p LimitPerSecond
 /// requests per second is busy, when a request takes \p WorkMs of it. Between
 /// 0.01 and 1.
-double busyFraction(double LimitPerS, double WorkMs);
+double busyFraction(double LimitPerSecond, double WorkMs);
 
 /// How many of the listed relays a box must reach to issue permits.
 enum class Quorum {
@@ -39,10 +39,10 @@
 
 /// The one of \p Relays that issues the permits for \p Upstream: the first by
 /// rendezvous hashing among those in \p Reached. Empty without the quorum.
-std::optional<BoxName> admitterOf(const InstanceId &Upstream,
-                                  const std::set<BoxName> &Relays,
-                                  const std::set<BoxName> &Reached,
-                                  Quorum Needed = Quorum::Majority);
+std::optional<BoxName> issuerOf(const InstanceId &Upstream,
+                                const std::set<BoxName> &Relays,
+                                const std::set<BoxName> &Reached,
+                                Quorum Needed = Quorum::Majority);
 
 /// The answer to a box that asks for a permit to send one request.
 struct PermitVerdict {
@@ -54,15 +54,15 @@
   bool operator==(const PermitVerdict &) const = default;
 };
 
-/// An upstream that a box issues permits for.
-struct AdmittedUpstream {
+/// How a box is assigned to issue permits for an upstream.
+struct IssuerAssignment {
   /// Whether this box is the first choice by rendezvous hashing among all
   /// listed relays.
   bool m_First = true;
   /// Since when the upstream needs permits; empty when it always has.
   std::optional<TimePoint> m_BoundSince;
 
-  bool operator==(const AdmittedUpstream &) const = default;
+  bool operator==(const IssuerAssignment &) const = default;
 };
 
 /// At most `m_Most` permits in any sliding window of `m_Length`.
@@ -79,15 +79,16 @@
 };
 
 /// Issues the permits of one box. Boxes whose lists differ may ask two issuers
-/// (admitters) at once. For a cold upstream each therefore issues at most half
+/// at once. For a cold upstream each therefore issues at most half
 /// of what all boxes together may send, but always one permit in a window. Of
 /// an advertised limit, the first choice by rendezvous hashing issues the whole
 /// once it has been that for a while, and all others a fraction that fits into
 /// the tolerance beside it.
 class PermitIssuer {
 public:
-  /// A permit lapses this long after the box asked, plus the wait it was told.
-  /// An answer usually arrives within milliseconds; a later one is of no use.
+  /// A permit lapses this long after the box asked, plus the wait in the
+  /// verdict. An answer usually arrives within milliseconds; a later one is of
+  /// no use.
   static constexpr Duration Validity = 80ms;
   /// Time from send to arrival: a new connection between data centres and a
   /// busy event loop.
@@ -114,7 +115,7 @@
   }
   /// This box issues permits for \p Upstreams and no others. It begins with new
   /// ones when the permits of other issuers have lapsed.
-  void setUpstreams(const std::map<InstanceId, AdmittedUpstream> &Upstreams,
+  void setUpstreams(const std::map<InstanceId, IssuerAssignment> &Upstreams,
                     TimePoint Now);
 
   /// Issues or refuses a permit for one request to \p Upstream that can be sent
@@ -126,20 +127,20 @@
   /// Permits for a cold upstream in any window of length `Window`.
   std::size_t perWindow(const WarmUpSpec &Spec) const;
   /// The window of permits under a limit of which this box issues \p Fraction.
-  static PermitWindow limitWindow(double LimitPerS, double Fraction);
+  static PermitWindow limitWindow(double LimitPerSecond, double Fraction);
 
 private:
   struct IssueRecord {
-    bool m_First = true; ///< As in `AdmittedUpstream`.
+    bool m_First = true; ///< As in `IssuerAssignment`.
     TimePoint m_IssuesFrom{};
     /// When the first choice issues the whole limit.
     TimePoint m_FullRateFrom{};
     std::deque<TimePoint> m_Issued; ///< Send times of permits, ascending.
-    /// Latest retry time that a refused request was told.
+    /// Latest retry time that a refused request was given.
     TimePoint m_NextRetryAt{};
   };
 
-  static IssueRecord newRecord(const AdmittedUpstream &Upstream, TimePoint Now);
+  static IssueRecord newRecord(const IssuerAssignment &Upstream, TimePoint Now);
   PermitWindow window(const SendBound &Bound, const IssueRecord &Record,
                       TimePoint Now) const;
 
--- a/packages/decisions/process/QuotaLedger.cpp
+++ b/packages/decisions/process/QuotaLedger.cpp
@@ -11,7 +11,7 @@
 /// of the rate is left for use that peers have not reported yet.
 constexpr double AmpleFraction = 0.5;
 
-/// Longest retry time that a caller is told; callers give up before.
+/// Longest retry time that a caller is given; callers give up before.
 constexpr Duration MaxRetryAfter = 30s;
 
 /// When to ask again if only the reports of other boxes are missing: these
@@ -108,7 +108,7 @@
     return;
   for (auto &[Name, Bucket] : m_Buckets)
     fill(Bucket, Now);
-  // The boxes that are no longer heard from keep their share of the level.
+  // The boxes that no longer report keep their share of the level.
   if (Share < m_Share)
     for (auto &[Name, Bucket] : m_Buckets)
       Bucket.m_Level *= Bucket.m_Level > 0 ? Share / m_Share : 1;
@@ -232,8 +232,8 @@
   return {.m_Step = QuotaStep::Grant, .m_Ample = ample(*Bucket)};
 }
 
-void QuotaLedger::giveBack(const std::string &Organisation, double Units,
-                           TimePoint Now) {
+void QuotaLedger::refund(const std::string &Organisation, double Units,
+                         TimePoint Now) {
   if (TokenBucket *Bucket = filled(Organisation, Now))
     charge(*Bucket, -Units);
 }
--- a/packages/decisions/process/QuotaLedger.h
+++ b/packages/decisions/process/QuotaLedger.h
@@ -33,7 +33,7 @@
 /// What one box reports to its peers about one organisation, in units.
 struct QuotaReport {
   /// Total used through the box and its leaves since the box started. Falls
-  /// when units are given back.
+  /// when units are refunded.
   double m_Used = 0;
   double m_Recent = 0; ///< Part of it used since the box's previous report.
   double m_Level = 0;  ///< Level of the sender's replica of the bucket.
@@ -92,7 +92,7 @@
 /// A relay's replica of the token buckets of all organisations. Relays send
 /// each other reports of the units they used, and each subtracts what its peers
 /// report from its own replica. A replica fills at the share of the rate that
-/// belongs to the boxes that are heard from. Between two reports of all peers
+/// belongs to the boxes that report. Between two reports of all peers
 /// (a round) a box uses no more of a full bucket than its own share. So boxes
 /// that are partitioned from each other share the limit, and what they spend
 /// twice before they notice the partition is bounded.
@@ -144,7 +144,7 @@
   QuotaVerdict spend(const std::string &Organisation, double Units,
                      TimePoint Now);
   /// Returns units that were taken for a request that reached no upstream.
-  void giveBack(const std::string &Organisation, double Units, TimePoint Now);
+  void refund(const std::string &Organisation, double Units, TimePoint Now);
 
   /// Takes in the reports of the box \p From, which counts for \p Boxes boxes.
   /// \p Settled: its levels are no longer those that it started with.
@@ -184,7 +184,7 @@
     bool m_LevelLearned = false; ///< The level was taken over from a peer.
     /// Time by which the units reserved for waiting requests are earned.
     TimePoint m_ReservedUntil{};
-    /// Latest retry time that refused callers were told, and their use of it.
+    /// Latest retry time that refused callers were given, and their use of it.
     TimePoint m_NextRetryAt{};
   };
   struct PeerUsage {
--- a/packages/decisions/process/ReplicaPlanner.cpp
+++ b/packages/decisions/process/ReplicaPlanner.cpp
@@ -24,12 +24,12 @@
               const std::string &Model) {
   const PlannedEngine &Engine = Snapshot.engines()[At];
   const bool HasDemand = Snapshot.demand(Model) >= LittleDemand;
-  const bool Fresh = Engine.m_Fresh.contains(Model);
+  const bool RecentlyLoaded = Engine.m_RecentlyLoaded.contains(Model);
   if (Snapshot.servingCount(Model) >= 2)
-    return !HasDemand || !Fresh;
+    return !HasDemand || !RecentlyLoaded;
   // A replica that is still loading is no replacement yet.
   return Snapshot.replicas(Model) == 1 && !Engine.m_Loading.contains(Model) &&
-         !HasDemand && !Fresh;
+         !HasDemand && !RecentlyLoaded;
 }
 
 /// Models that may be evicted from an engine; the empty name stands for no
--- a/packages/decisions/process/ReplicaPlanner.h
+++ b/packages/decisions/process/ReplicaPlanner.h
@@ -25,7 +25,7 @@
   std::map<std::string, double> m_Loading;
   /// Models loaded a short while ago. They are not evicted while they have
   /// demand.
-  std::set<std::string> m_Fresh;
+  std::set<std::string> m_RecentlyLoaded;
   std::set<std::string> m_InMemory; ///< Models with weights in host memory.
   std::set<std::string> m_OnDisk;   ///< Models with weights on its disk.
   /// How many times longer it takes for the same work than an average engine.
--- a/packages/decisions/process/SendBounds.cpp
+++ b/packages/decisions/process/SendBounds.cpp
@@ -10,7 +10,7 @@
   if (m_WarmUp.cold(Id, Now))
     Result.m_Cold = *m_WarmUp.spec(Id);
   if (const AdvertisedLimit *Limit = m_Signals.limit(Id))
-    Result.m_LimitPerS = Limit->m_RatePerSecond;
+    Result.m_LimitPerSecond = Limit->m_RatePerSecond;
   if (Result == SendBound{})
     return std::nullopt;
   return Result;
@@ -25,7 +25,7 @@
                                   TimePoint Now) {
   std::erase_if(m_NextPermitAt,
                 [&](const auto &Each) { return Each.second <= Now; });
-  // Each request is told a retry time of its own; the earliest one counts.
+  // Each request is given a retry time of its own; the earliest one counts.
   const auto [Known, New] = m_NextPermitAt.try_emplace(Id, NextPermitAt);
   Known->second = std::min(Known->second, NextPermitAt);
 }
--- a/packages/decisions/process/SendBounds.h
+++ b/packages/decisions/process/SendBounds.h
@@ -40,7 +40,7 @@
   void recordNextPermit(const InstanceId &Id, TimePoint NextPermitAt,
                         TimePoint Now);
   /// Shortest time that a request to \p Id waits for its permit, as far as this
-  /// box was told; zero when it needs none.
+  /// box knows; zero when it needs none.
   Duration permitWait(const InstanceId &Id, TimePoint Now) const;
 
 private:
--- a/packages/decisions/request/ReplicaChoice.cpp
+++ b/packages/decisions/request/ReplicaChoice.cpp
@@ -108,7 +108,7 @@
     if (Bound)
       Score.m_ExpectedMs +=
           inMillis(Stats.m_Bounds->permitWait(Candidate->m_Id, Now));
-    Score.m_Limited = Bound && Bound->m_LimitPerS;
+    Score.m_Limited = Bound && Bound->m_LimitPerSecond;
     const double Burst = std::max(0.0, Score.m_PendingMs + Score.m_WorkMs -
                                            Weights.m_InterferenceThresholdMs);
     Score.m_CostMs =
--- a/packages/gateway/process/ComponentOptions.cpp
+++ b/packages/gateway/process/ComponentOptions.cpp
@@ -52,7 +52,7 @@
   Forwarder::Options Opts;
   Opts.m_Weights = Policy.m_Choice;
   Opts.m_Admission = Policy.m_Admission;
-  Opts.m_Pace = Policy.m_Pace;
+  Opts.m_Pacing = Policy.m_Pacing;
   return Opts;
 }
 
--- a/packages/gateway/process/ConfigFollower.cpp
+++ b/packages/gateway/process/ConfigFollower.cpp
@@ -27,9 +27,9 @@
 bool ConfigFollower::delegatesReads() const {
   if (m_Deps.m_Cache.running())
     return false;
-  const BoxName &Holder = m_FetchPolicy.source();
-  return asksUplink() || (m_Deps.m_Fleet.topology().stronger(Holder) &&
-                          m_Deps.m_Fleet.understands(Holder, PackingProtocol));
+  const BoxName &Source = m_FetchPolicy.source();
+  return asksUplink() || (m_Deps.m_Fleet.topology().stronger(Source) &&
+                          m_Deps.m_Fleet.understands(Source, PackingProtocol));
 }
 
 void ConfigFollower::recordDigest(const BoxName &From,
@@ -76,13 +76,13 @@
   }
 }
 
-void ConfigFollower::requestFrom(const BoxName &Holder) {
+void ConfigFollower::requestFrom(const BoxName &Source) {
   m_Deps.m_Log.write("config_asked",
-                     {{"peer", Holder.str()},
+                     {{"peer", Source.str()},
                       {"version", m_FetchPolicy.newest().m_Version},
                       {"known", m_Deps.m_State.configVersion()},
                       {"next_ms", m_FetchPolicy.askPause() / 1ms}});
-  m_Hooks.m_Ask(Holder);
+  m_Hooks.m_Ask(Source);
 }
 
 } // namespace havenstair
--- a/packages/gateway/process/ConfigFollower.h
+++ b/packages/gateway/process/ConfigFollower.h
@@ -60,7 +60,7 @@
 
 private:
   bool delegatesReads() const;
-  void requestFrom(const BoxName &Holder);
+  void requestFrom(const BoxName &Source);
 
   Dependencies m_Deps;
   Hooks m_Hooks;
--- a/packages/gateway/process/CrashExchange.cpp
+++ b/packages/gateway/process/CrashExchange.cpp
@@ -139,7 +139,7 @@
     return;
   m_Log.write("request_cleared",
               {{"digest", Request.str()}, {"by", m_Fleet.self().str()}});
-  m_Fleet.sendAll(RanWellFrame{.m_Request = Request});
+  m_Fleet.sendAll(RequestClearedFrame{.m_Request = Request});
   // The requests that shared its crashed upstreams become more likely causes.
   evaluate();
 }
@@ -178,11 +178,11 @@
   const CrashTracker::RecordResult Result =
       m_Tracker.recordCrash(Frame.m_Server, Frame.m_Running, Now);
   for (const RequestDigest &Request : Result.m_Completed)
-    m_Fleet.sendAll(RanWellFrame{.m_Request = Request});
+    m_Fleet.sendAll(RequestClearedFrame{.m_Request = Request});
   if (!Result.m_New)
     return false;
-  // Leaves are not told of crashes, but may know which of the requests
-  // completed without harm.
+  // Crashes are not reported to leaves, but these may know which of the
+  // requests completed without harm.
   if (m_Fleet.topology().relay() && !m_Fleet.topology().flat())
     sendSuspects(Frame.m_Running);
   scheduleEvaluation();
@@ -213,7 +213,7 @@
   for (const RequestDigest &Request : Quarantined)
     logQuarantined(Request, "judged");
   if (!Quarantined.empty())
-    m_Fleet.sendAll(RequestBarsFrame{.m_Bars = quarantineEntries(Quarantined)});
+    m_Fleet.sendAll(QuarantinesFrame{.m_Bars = quarantineEntries(Quarantined)});
   m_Hooks.m_Changed();
 }
 
@@ -225,22 +225,22 @@
     return;
   m_Log.write("request_barred",
               {{"digest", Request.str()},
-               {"servers", Quarantine->m_Servers},
+               {"servers", Quarantine->m_Upstreams},
                {"by", Quarantine->m_By.str()},
                {"how", How},
                {"since_ms", (Now - Quarantine->m_Since) / 1ms},
                {"for_ms", (Quarantine->m_Until - Now) / 1ms}});
 }
 
-std::vector<ToldBar> CrashExchange::quarantineEntries(
+std::vector<ReportedQuarantine> CrashExchange::quarantineEntries(
     const std::vector<RequestDigest> &Requests) const {
   const TimePoint Now = EventLoop::now();
-  std::vector<ToldBar> Result;
+  std::vector<ReportedQuarantine> Result;
   for (const RequestDigest &Request : Requests)
     if (const RequestQuarantine *Quarantine =
             m_Tracker.findQuarantine(Request, Now))
       Result.push_back({.m_Request = Request,
-                        .m_Servers = Quarantine->m_Servers,
+                        .m_Upstreams = Quarantine->m_Upstreams,
                         .m_By = Quarantine->m_By,
                         .m_Age = Now - Quarantine->m_Since,
                         .m_Left = Quarantine->m_Until - Now});
@@ -267,13 +267,13 @@
   std::vector<RequestDigest> All;
   for (const auto &[Request, Quarantine] : m_Tracker.quarantines())
     All.push_back(Request);
-  std::vector<ToldBar> Quarantines = quarantineEntries(All);
+  std::vector<ReportedQuarantine> Quarantines = quarantineEntries(All);
   for (std::size_t First = 0; First < Quarantines.size();
        First += MaxEntriesPerFrame) {
     const auto From = Quarantines.begin() + static_cast<std::ptrdiff_t>(First);
     const auto Count = std::min(MaxEntriesPerFrame, Quarantines.size() - First);
     m_Fleet.send(
-        Box, RequestBarsFrame{
+        Box, QuarantinesFrame{
                  .m_Bars = {From, From + static_cast<std::ptrdiff_t>(Count)}});
   }
 }
@@ -301,10 +301,11 @@
   const TimePoint Now = EventLoop::now();
   for (const RequestDigest &Request : Frame.m_Requests)
     if (m_Tracker.addSuspect(Request, Now))
-      m_Fleet.sendAll(RanWellFrame{.m_Request = Request});
+      m_Fleet.sendAll(RequestClearedFrame{.m_Request = Request});
 }
 
-void CrashExchange::receive(const BoxName &From, const RanWellFrame &Frame) {
+void CrashExchange::receive(const BoxName &From,
+                            const RequestClearedFrame &Frame) {
   if (!m_Tracker.recordCompletion(Frame.m_Request, EventLoop::now()))
     return;
   m_Log.write("request_cleared",
@@ -314,15 +315,15 @@
 }
 
 void CrashExchange::receive(const BoxName &From,
-                            const RequestBarsFrame &Frame) {
+                            const QuarantinesFrame &Frame) {
   const TimePoint Now = EventLoop::now();
-  RequestBarsFrame Adopted;
-  for (const ToldBar &Received : Frame.m_Bars) {
+  QuarantinesFrame Adopted;
+  for (const ReportedQuarantine &Received : Frame.m_Bars) {
     // A box that was disconnected when the quarantine was lifted would
     // otherwise bring it back.
     if (m_Tracker.wasLifted(Received.m_Request))
-      m_Fleet.send(From, RanWellFrame{.m_Request = Received.m_Request});
-    const RequestQuarantine Quarantine{.m_Servers = Received.m_Servers,
+      m_Fleet.send(From, RequestClearedFrame{.m_Request = Received.m_Request});
+    const RequestQuarantine Quarantine{.m_Upstreams = Received.m_Upstreams,
                                        .m_By = Received.m_By,
                                        .m_Since = Now - Received.m_Age,
                                        .m_Until = Now + Received.m_Left};
--- a/packages/gateway/process/CrashExchange.h
+++ b/packages/gateway/process/CrashExchange.h
@@ -84,13 +84,13 @@
   void scheduleEvaluation();
   void evaluate();
   void logQuarantined(const RequestDigest &Request, std::string_view How);
-  std::vector<ToldBar>
+  std::vector<ReportedQuarantine>
   quarantineEntries(const std::vector<RequestDigest> &Requests) const;
 
   void receive(const BoxName &From, const CrashFrame &Frame);
   void receive(const BoxName &From, const CrashSuspectsFrame &Frame);
-  void receive(const BoxName &From, const RanWellFrame &Frame);
-  void receive(const BoxName &From, const RequestBarsFrame &Frame);
+  void receive(const BoxName &From, const RequestClearedFrame &Frame);
+  void receive(const BoxName &From, const QuarantinesFrame &Frame);
 
   EventLoop &m_Loop;
   Fleet &m_Fleet;
--- a/packages/gateway/process/FleetExchange.cpp
+++ b/packages/gateway/process/FleetExchange.cpp
@@ -109,8 +109,8 @@
   Frame.m_Number = m_Clock.nextNumber(Now);
   m_Lists.describe(Frame, Now);
   Frame.m_Stopping = m_Deps.m_State.m_Stopping;
-  Frame.m_Giving = m_Deps.m_Leader.leading();
-  Frame.m_Holder = m_Deps.m_Leader.leader();
+  Frame.m_Leading = m_Deps.m_Leader.leading();
+  Frame.m_Leader = m_Deps.m_Leader.leader();
   return Frame;
 }
 
@@ -414,7 +414,7 @@
   m_Clock.recordReceived(From, Frame.m_Number);
   if (Frame.m_Leaf)
     return receiveFromLeaf(From, Frame, Now);
-  m_Deps.m_Leader.recordPeerView(From, Frame.m_Holder, Frame.m_Giving,
+  m_Deps.m_Leader.recordPeerView(From, Frame.m_Leader, Frame.m_Leading,
                                  m_Clock.sentAt(Frame.m_Echo));
   m_Lists.config().recordDigest(From, Frame, Now);
   m_Lists.readIfBehind(Frame, Now);
@@ -483,9 +483,9 @@
   const TimePoint Now = EventLoop::now();
   for (const EngineContents &Each : Frame.m_Engines) {
     ServingView &Upstreams = m_Deps.m_State.m_Upstreams;
-    Upstreams.recordLeaderReport(Each.life(), Each.m_Models, Each.m_Retiring,
-                                 Now);
-    Upstreams.recordLeaderLoad(Each.life(), Each.m_Loading,
+    Upstreams.recordLeaderReport(Each.incarnation(), Each.m_Models,
+                                 Each.m_Retiring, Now);
+    Upstreams.recordLeaderLoad(Each.incarnation(), Each.m_Loading,
                                Now + Each.m_ServesIn);
   }
   sendToLeaves(Frame);
--- a/packages/gateway/process/GatewayPolicy.h
+++ b/packages/gateway/process/GatewayPolicy.h
@@ -17,7 +17,7 @@
 struct GatewayPolicy {
   ReplicaWeights m_Choice;
   AdmissionOptions m_Admission;
-  PacingOptions m_Pace;
+  PacingOptions m_Pacing;
   PlannerOptions m_Planner;
   AdapterOptions m_Adapters;
   DemandRates::Options m_Rates;
--- a/packages/gateway/process/ManagedEngine.cpp
+++ b/packages/gateway/process/ManagedEngine.cpp
@@ -24,10 +24,10 @@
 
 } // namespace
 
-bool ManagedEngine::recordStart(StartTime Born, TimePoint Now) {
-  if (Born <= m_StartTime)
+bool ManagedEngine::recordStart(StartTime Started, TimePoint Now) {
+  if (Started <= m_StartTime)
     return false;
-  if (std::exchange(m_StartTime, Born) == 0)
+  if (std::exchange(m_StartTime, Started) == 0)
     return false;
   m_Ledger.onRestart(Now);
   reset();
@@ -44,10 +44,10 @@
 
 void ManagedEngine::reset() {
   EngineLedger Ledger = std::move(m_Ledger);
-  const StartTime Born = m_StartTime;
+  const StartTime Started = m_StartTime;
   *this = ManagedEngine();
   m_Ledger = std::move(Ledger);
-  m_StartTime = Born;
+  m_StartTime = Started;
 }
 
 void ManagedEngine::begin(const PlannedMove &Move, TimePoint Now) {
@@ -98,7 +98,7 @@
                         .m_DataCentre = DataCentreName(Entry.m_Zone)};
   for (const auto &[Model, At] : m_ModelLoadedAt)
     if (Now - At < MinReplicaStay)
-      Planned.m_Fresh.insert(Model);
+      Planned.m_RecentlyLoaded.insert(Model);
   for (const ResidentModel &Model :
        m_Ledger.known() ? m_Ledger.models() : Entry.m_Models)
     Planned.m_Models.insert(Model.m_Name);
@@ -124,10 +124,10 @@
                        .m_Ledger = &m_Ledger,
                        .m_Busy = Busy,
                        .m_Retiring = {},
-                       .m_Fresh = {}};
+                       .m_RecentlyLoaded = {}};
   for (const auto &[Key, At] : m_AdapterOrderedAt)
     if (Now - At < MinAdapterStay)
-      Result.m_Fresh.insert(Key);
+      Result.m_RecentlyLoaded.insert(Key);
   if (m_Task)
     Result.m_Retiring.insert(m_Task->m_Move.m_Evict);
   return Result;
--- a/packages/gateway/process/ManagedEngine.h
+++ b/packages/gateway/process/ManagedEngine.h
@@ -17,7 +17,7 @@
 /// A move that is being carried out on an engine.
 struct EngineTask {
   enum class Phase {
-    Retiring,  ///< Boxes are being told that the model is unloaded soon.
+    Retiring,  ///< Boxes are being notified that the model is unloaded soon.
     Unloading, ///< Its last requests end.
     Loading
   };
@@ -43,13 +43,13 @@
   /// When each adapter was ordered.
   std::map<AdapterKey, TimePoint> m_AdapterOrderedAt;
 
-  /// Notes that the engine runs with start time \p Born. A later one than is
+  /// Notes that the engine runs with start time \p Started. A later one than is
   /// known resets everything but orders that may still be carried out late.
   /// \returns whether it did.
-  bool recordStart(StartTime Born, TimePoint Now);
-  /// Whether \p Born is the known incarnation, or is unknown (0).
-  bool isCurrent(StartTime Born) const {
-    return Born == 0 || m_StartTime == 0 || Born == m_StartTime;
+  bool recordStart(StartTime Started, TimePoint Now);
+  /// Whether \p Started is the known incarnation, or is unknown (0).
+  bool isCurrent(StartTime Started) const {
+    return Started == 0 || m_StartTime == 0 || Started == m_StartTime;
   }
   /// Records a report of the engine that was requested at \p AskedAt. \returns
   /// whether it shows a restart that was not announced; everything but late
--- a/packages/gateway/process/OrderLeader.cpp
+++ b/packages/gateway/process/OrderLeader.cpp
@@ -122,13 +122,13 @@
   m_Engines.clear();
   m_DelistedEngines.clear();
   m_ClaimedAt = Now;
-  m_Ceiling = LoadRateLimiter();
+  m_LoadLimiter = LoadRateLimiter();
   m_DemandSeeded = false;
   // The former leader learns only with a delay that it was replaced.
   const TimePoint LastOrder = SameMachine ? Now : Now + DeposedNoticeDelay;
   m_PredecessorOrdersUntil = Before.m_None ? Now : LastOrder + MaxReportLag;
   if (!Before.m_None)
-    m_Ceiling.assumeFullWindow(LastOrder);
+    m_LoadLimiter.assumeFullWindow(LastOrder);
   m_Log.write("giver", {{"token", m_Election.token()},
                         {"before", Before.m_Machine},
                         {"orders_in_ms", (m_EarliestOrder - Now) / 1ms}});
@@ -247,7 +247,7 @@
     const auto Entry = Listed.find(Each.first);
     if (Entry != Listed.end() && specOf(Entry->second.m_Service) != nullptr)
       return false;
-    m_Ceiling.onSettled(Each.first, Now + DelistedOrderLife);
+    m_LoadLimiter.onSettled(Each.first, Now + DelistedOrderLife);
     m_DelistedEngines[Each.first] =
         Each.second.m_Ledger.lateOrdersWithCall(Now);
     return true;
@@ -284,8 +284,8 @@
 void OrderLeader::countLateOrders(const InstanceId &Id, ManagedEngine &Engine,
                                   TimePoint Now) {
   const std::size_t Loads = Engine.m_Ledger.lateOrders().modelLoads();
-  m_Ceiling.onSettled(Id, Now);
-  m_Ceiling.addPossibleStarts(Loads, Now + OrderLife);
+  m_LoadLimiter.onSettled(Id, Now);
+  m_LoadLimiter.addPossibleStarts(Loads, Now + OrderLife);
   // Orders of the leader before this one are unknown.
   const TimePoint FormerLate = m_PredecessorOrdersUntil + OrderLife;
   const bool Held = m_PredecessorOrdersUntil > m_ClaimedAt && Now < FormerLate;
@@ -453,9 +453,9 @@
   const bool FromStore =
       Order.m_Load && Order.m_Adapter.empty() && Source == LoadSource::Store;
   if (FromStore) {
-    if (m_Ceiling.available(Now) == 0)
+    if (m_LoadLimiter.available(Now) == 0)
       return false;
-    m_Ceiling.onOrdered(Id);
+    m_LoadLimiter.onOrdered(Id);
   }
   const OrderStamp Stamp{.m_Leader = m_Opts.m_Election.m_Machine,
                          .m_FencingToken = m_Election.token(),
@@ -473,10 +473,10 @@
                {"gain", To.m_Task ? To.m_Task->m_Move.m_Gain : 0}});
   m_Control.order(Entry->second, Order, Stamp,
                   [this, Id, Order, Source, Token = m_Election.token(),
-                   Born = To.m_StartTime](OrderAnswer Answer) {
+                   Started = To.m_StartTime](OrderAnswer Answer) {
                     if (leading() && Token == m_Election.token())
-                      onOrderAnswered({.m_Id = Id, .m_StartTime = Born}, Order,
-                                      Source, Answer);
+                      onOrderAnswered({.m_Id = Id, .m_StartTime = Started},
+                                      Order, Source, Answer);
                   });
   return true;
 }
@@ -486,7 +486,7 @@
 void OrderLeader::settleLoad(const InstanceId &Id, const ManagedEngine &Engine,
                              TimePoint Now) {
   if (!Engine.m_Ledger.uncertain() && !Engine.m_Ledger.awaitsAnswer())
-    m_Ceiling.onSettled(Id, Now);
+    m_LoadLimiter.onSettled(Id, Now);
 }
 
 void OrderLeader::onOrderAnswered(const UpstreamIncarnation &Instance,
@@ -600,7 +600,7 @@
 /// still in progress at the window's end, so once all engines have reported,
 /// only the loads in progress count.
 void OrderLeader::countPredecessorLoads(TimePoint Now) {
-  if (!m_Ceiling.assumesFullWindow())
+  if (!m_LoadLimiter.assumesFullWindow())
     return;
   const auto Shortest = m_State.m_Config->shortestStoreLoad();
   if (!Shortest || Now < m_PredecessorOrdersUntil +
@@ -611,7 +611,7 @@
         const EngineLedger &Ledger = Each.second.m_Ledger;
         return !Ledger.known() || Ledger.acceptedModelOrder();
       }));
-  m_Ceiling.setFormerLoads(InProgress, Now);
+  m_LoadLimiter.setFormerLoads(InProgress, Now);
   m_Log.write("former_loads",
               {{"under_way", InProgress}, {"engines", m_Engines.size()}});
 }
@@ -619,7 +619,7 @@
 PlannerInput OrderLeader::plannerInput(const std::string &Service,
                                        TimePoint Now) {
   PlannerInput Input;
-  Input.m_StoreLoads = m_Ceiling.available(Now);
+  Input.m_StoreLoads = m_LoadLimiter.available(Now);
   Input.m_StoreSlowness = m_StoreSlowness.factor();
   ModelDemand All;
   for (const auto &[Key, Rate] : m_Rates.rates(Now))
@@ -651,9 +651,9 @@
 
 void OrderLeader::planModels(const std::string &Service, const EngineSpec &Spec,
                              TimePoint Now) {
-  m_Ceiling.configure({.m_LoadsPerSecond = Spec.m_LoadsPerSecond,
-                       .m_Window = m_Opts.m_Bounds.m_CeilingWindow,
-                       .m_Overage = m_Opts.m_Bounds.m_CeilingOverage});
+  m_LoadLimiter.configure({.m_LoadsPerSecond = Spec.m_LoadsPerSecond,
+                           .m_Window = m_Opts.m_Bounds.m_CeilingWindow,
+                           .m_Overage = m_Opts.m_Bounds.m_CeilingOverage});
   PlannerInput Input = plannerInput(Service, Now);
   m_ShortageLog.log(Input, replicas(), Now);
   for (const PlannedMove &Move :
--- a/packages/gateway/process/OrderLeader.h
+++ b/packages/gateway/process/OrderLeader.h
@@ -42,7 +42,7 @@
     DemandRates::Options m_Rates;
   };
   struct Hooks {
-    /// Contents of engines have changed; all boxes are to be told.
+    /// Contents of engines have changed; sends them to all boxes.
     std::function<void(const FleetContentsFrame &)> m_ContentsChanged;
     /// An engine has answered an order; for metrics.
     std::function<void(std::string_view Operation, std::string_view Answer)>
@@ -179,7 +179,7 @@
   std::map<InstanceId, LateOrders> m_DelistedEngines;
   std::map<InstanceId, ManagedEngine> m_Engines;
   std::map<ModelKey, MissingKey> m_Missing;
-  LoadRateLimiter m_Ceiling;
+  LoadRateLimiter m_LoadLimiter;
   ShortageLog m_ShortageLog;
   StoreSlowness m_StoreSlowness;
   Timer m_Timer;
--- a/packages/gateway/process/PermitExchange.cpp
+++ b/packages/gateway/process/PermitExchange.cpp
@@ -40,10 +40,10 @@
 PermitExchange::issuer(const InstanceId &Upstream) const {
   std::set<BoxName> ReachableBoxes = m_Fleet.linked();
   ReachableBoxes.insert(m_Fleet.self());
-  return admitterOf(
-      Upstream, m_Fleet.topology().relaysOf(m_WarmUp.dataCentre(Upstream)),
-      ReachableBoxes,
-      m_Bounds.limited(Upstream) ? Quorum::Half : Quorum::Majority);
+  return issuerOf(Upstream,
+                  m_Fleet.topology().relaysOf(m_WarmUp.dataCentre(Upstream)),
+                  ReachableBoxes,
+                  m_Bounds.limited(Upstream) ? Quorum::Half : Quorum::Majority);
 }
 
 /// \returns whether this box is the issuer for \p Upstream while all listed
@@ -51,7 +51,7 @@
 bool PermitExchange::isPrimaryIssuer(const InstanceId &Upstream) const {
   const std::set<BoxName> &Relays =
       m_Fleet.topology().relaysOf(m_WarmUp.dataCentre(Upstream));
-  return admitterOf(Upstream, Relays, Relays) == m_Fleet.self();
+  return issuerOf(Upstream, Relays, Relays) == m_Fleet.self();
 }
 
 void PermitExchange::onListChanged(const InstanceList &List) {
@@ -67,15 +67,15 @@
   m_Permits.setUpstreams(ownUpstreams(), Now);
 }
 
-std::map<InstanceId, AdmittedUpstream> PermitExchange::ownUpstreams() const {
-  std::map<InstanceId, AdmittedUpstream> Result;
+std::map<InstanceId, IssuerAssignment> PermitExchange::ownUpstreams() const {
+  std::map<InstanceId, IssuerAssignment> Result;
   if (!m_Fleet.topology().relay())
     return Result;
   const auto Add = [&](const InstanceId &Upstream,
                        std::optional<TimePoint> BoundSince) {
     if (issuer(Upstream) == m_Fleet.self())
       Result.try_emplace(Upstream,
-                         AdmittedUpstream{.m_First = isPrimaryIssuer(Upstream),
+                         IssuerAssignment{.m_First = isPrimaryIssuer(Upstream),
                                           .m_BoundSince = BoundSince});
   };
   if (m_WarmUp.active())
@@ -114,7 +114,7 @@
   // The box that asks assumes that the upstream is cold.
   if (const WarmUpSpec *Spec = m_WarmUp.spec(Upstream);
       !Bound && Spec != nullptr)
-    Bound = SendBound{.m_Cold = *Spec, .m_LimitPerS = std::nullopt};
+    Bound = SendBound{.m_Cold = *Spec, .m_LimitPerSecond = std::nullopt};
   if (!Bound) {
     m_Hooks.m_UnknownBound(For, Upstream);
     return {.m_Granted = false, .m_After = RetryDelay};
@@ -200,8 +200,8 @@
     return;
   m_Log.write("turned_cold",
               {{"upstream", Upstream}, {"cold_ms", ColdFor / 1ms}});
-  m_Fleet.sendAll(WarmUpNewsFrame{.m_Life = m_WarmUp.incarnation(Upstream),
-                                  .m_ColdFor = ColdFor});
+  m_Fleet.sendAll(ColdUpdateFrame{
+      .m_Incarnation = m_WarmUp.incarnation(Upstream), .m_ColdFor = ColdFor});
 }
 
 void PermitExchange::onFrame(const BoxName &From, const PeerFrame &Frame) {
@@ -251,11 +251,11 @@
 }
 
 void PermitExchange::receive(const BoxName &From,
-                             const WarmUpNewsFrame &Frame) {
+                             const ColdUpdateFrame &Frame) {
   const TimePoint Now = EventLoop::now();
-  const InstanceId &Upstream = Frame.m_Life.m_Id;
+  const InstanceId &Upstream = Frame.m_Incarnation.m_Id;
   // It concerns another incarnation than the newest that this box knows.
-  if (m_WarmUp.incarnation(Upstream) != Frame.m_Life ||
+  if (m_WarmUp.incarnation(Upstream) != Frame.m_Incarnation ||
       m_WarmUp.cold(Upstream, Now))
     return;
   if (m_WarmUp.recordColdTime(Upstream, Frame.m_ColdFor, Now, Now))
--- a/packages/gateway/process/PermitExchange.h
+++ b/packages/gateway/process/PermitExchange.h
@@ -87,7 +87,7 @@
 
   std::optional<BoxName> issuer(const InstanceId &Upstream) const;
   bool isPrimaryIssuer(const InstanceId &Upstream) const;
-  std::map<InstanceId, AdmittedUpstream> ownUpstreams() const;
+  std::map<InstanceId, IssuerAssignment> ownUpstreams() const;
   BoxName nextBox(const InstanceId &Upstream) const;
   PermitVerdict decide(const BoxName &For, const InstanceId &Upstream,
                        Duration Patience);
@@ -96,7 +96,7 @@
   void onTimeout(std::uint64_t Id);
   void receive(const BoxName &From, const PermitAskFrame &Frame);
   void receive(const BoxName &From, const PermitAnswerFrame &Frame);
-  void receive(const BoxName &From, const WarmUpNewsFrame &Frame);
+  void receive(const BoxName &From, const ColdUpdateFrame &Frame);
 
   EventLoop &m_Loop;
   Fleet &m_Fleet;
--- a/packages/gateway/process/QuarantineStore.cpp
+++ b/packages/gateway/process/QuarantineStore.cpp
@@ -45,7 +45,7 @@
     try {
       const Json Value = parseJson(Item.m_Value);
       Result.m_Added[Request] = {
-          .m_Servers = field<std::vector<InstanceId>>(Value, "servers"),
+          .m_Upstreams = field<std::vector<InstanceId>>(Value, "servers"),
           .m_By = BoxName(field<std::string>(Value, "by"))};
     } catch (const DecodeError &Error) {
       m_Log.write("bad_bar", {{"key", Key}, {"why", Error.what()}});
@@ -89,7 +89,7 @@
 void QuarantineStore::put(LeaseId Lease, const Entries &Missing) {
   StoreTransaction Transaction;
   for (const auto &[Request, Quarantine] : Missing) {
-    const Json Value{{"servers", Quarantine.m_Servers},
+    const Json Value{{"servers", Quarantine.m_Upstreams},
                      {"by", Quarantine.m_By.str()}};
     Transaction.m_Puts.push_back({.m_Key = keyOf(Request),
                                   .m_Value = dumpJson(Value),
--- a/packages/gateway/process/QuotaExchange.cpp
+++ b/packages/gateway/process/QuotaExchange.cpp
@@ -138,8 +138,8 @@
   const TimePoint Now = EventLoop::now();
   QuotaUseFrame Frame{.m_Boxes = static_cast<std::uint32_t>(boxesCountedFor()),
                       .m_Settled = m_Ledger.settled(Now),
-                      .m_Words = m_Ledger.takeReports(All, Now)};
-  if (!All && Frame.m_Words.empty())
+                      .m_Reports = m_Ledger.takeReports(All, Now)};
+  if (!All && Frame.m_Reports.empty())
     return;
   for (const BoxName &Relay : m_Fleet.linkedRelays())
     m_Fleet.send(Relay, Frame);
@@ -176,9 +176,9 @@
   });
 }
 
-void QuotaExchange::giveBack(const std::string &Organisation, double Units) {
+void QuotaExchange::refund(const std::string &Organisation, double Units) {
   if (m_KeepsLedger || isolated(EventLoop::now()))
-    return m_Ledger.giveBack(Organisation, Units, EventLoop::now());
+    return m_Ledger.refund(Organisation, Units, EventLoop::now());
   ask(Organisation, {.m_Units = -Units}, {});
 }
 
@@ -293,7 +293,7 @@
 
 void QuotaExchange::receive(const BoxName &From, const QuotaUseFrame &Frame) {
   if (m_KeepsLedger)
-    m_Ledger.receive(From, Frame.m_Boxes, Frame.m_Settled, Frame.m_Words,
+    m_Ledger.receive(From, Frame.m_Boxes, Frame.m_Settled, Frame.m_Reports,
                      EventLoop::now());
 }
 
--- a/packages/gateway/process/QuotaExchange.h
+++ b/packages/gateway/process/QuotaExchange.h
@@ -48,7 +48,7 @@
 
   void acquire(const std::string &Organisation, const QuotaRequest &Request,
                Done Callback) override;
-  void giveBack(const std::string &Organisation, double Units) override;
+  void refund(const std::string &Organisation, double Units) override;
 
   /// Handles the quota frames among those that \p From sends.
   void onFrame(const BoxName &From, const PeerFrame &Frame);
--- a/packages/gateway/process/ServingState.h
+++ b/packages/gateway/process/ServingState.h
@@ -43,7 +43,7 @@
   FailureTracker m_Failures;
   CrashTracker m_Crashes;
   SharedRetryBudget m_Budget{{}, EventLoop::now()};
-  RetryDetector m_Callers;
+  RetryDetector m_RetryDetector;
   ModelDemands m_Demand; ///< Demand since it was last taken.
   int m_Boxes = 1;       ///< Largest number of boxes known at one time.
   bool m_Stopping = false;
--- a/packages/gateway/process/UpstreamSignalExchange.cpp
+++ b/packages/gateway/process/UpstreamSignalExchange.cpp
@@ -90,7 +90,7 @@
     return sendLater(Upstream);
   if (Change == LimitChange::None)
     return;
-  ServerWordFrame Signal = signalFrame(Upstream);
+  UpstreamSignalFrame Signal = signalFrame(Upstream);
   Signal.m_LimitEnded = Change == LimitChange::Ended;
   m_Fleet.sendAll(Signal);
 }
@@ -114,11 +114,11 @@
   m_Hooks.m_LimitsChanged();
 }
 
-ServerWordFrame
+UpstreamSignalFrame
 UpstreamSignalExchange::signalFrame(const UpstreamIncarnation &Upstream) const {
-  ServerWordFrame Result{.m_Life = Upstream};
+  UpstreamSignalFrame Result{.m_Incarnation = Upstream};
   if (const AdvertisedLimit *Limit = m_Signals.limit(Upstream.m_Id)) {
-    Result.m_LimitPerS = Limit->m_RatePerSecond;
+    Result.m_LimitPerSecond = Limit->m_RatePerSecond;
     Result.m_LimitAge = EventLoop::now() - Limit->m_Since;
   }
   Result.m_Leaving = m_Signals.leaving().contains(Upstream);
@@ -148,24 +148,26 @@
 
 void UpstreamSignalExchange::sendNoLimit(const BoxName &Box,
                                          const UpstreamIncarnation &Upstream) {
-  ServerWordFrame Signal = signalFrame(Upstream);
+  UpstreamSignalFrame Signal = signalFrame(Upstream);
   Signal.m_LimitEnded = true;
   m_Fleet.send(Box, Signal);
 }
 
 void UpstreamSignalExchange::onFrame(const BoxName &From,
                                      const PeerFrame &Frame) {
-  const auto *Signal = std::get_if<ServerWordFrame>(&Frame);
-  if (Signal == nullptr || m_View.superseded(Signal->m_Life))
+  const auto *Signal = std::get_if<UpstreamSignalFrame>(&Frame);
+  if (Signal == nullptr || m_View.superseded(Signal->m_Incarnation))
     return;
   LimitChange Change = LimitChange::None;
-  if (Signal->m_LimitPerS || Signal->m_LimitEnded) {
-    const auto Before = copied(m_Signals.limit(Signal->m_Life.m_Id));
-    Change = m_Signals.mergeLimit(Signal->m_Life, Signal->m_LimitPerS, From,
-                                  Signal->m_LimitAge, EventLoop::now());
-    noteLimit(Signal->m_Life, Change, Before, From);
+  if (Signal->m_LimitPerSecond || Signal->m_LimitEnded) {
+    const auto Before = copied(m_Signals.limit(Signal->m_Incarnation.m_Id));
+    Change =
+        m_Signals.mergeLimit(Signal->m_Incarnation, Signal->m_LimitPerSecond,
+                             From, Signal->m_LimitAge, EventLoop::now());
+    noteLimit(Signal->m_Incarnation, Change, Before, From);
   }
-  const bool Leaves = Signal->m_Leaving && noteLeaving(Signal->m_Life, From);
+  const bool Leaves =
+      Signal->m_Leaving && noteLeaving(Signal->m_Incarnation, From);
   if (Change != LimitChange::None || Leaves)
     m_Fleet.passOn(*Signal, From);
 }
--- a/packages/gateway/process/UpstreamSignalExchange.h
+++ b/packages/gateway/process/UpstreamSignalExchange.h
@@ -56,7 +56,7 @@
   void noteLimit(const UpstreamIncarnation &Upstream, LimitChange Change,
                  const std::optional<AdvertisedLimit> &Before,
                  const BoxName &By);
-  ServerWordFrame signalFrame(const UpstreamIncarnation &Upstream) const;
+  UpstreamSignalFrame signalFrame(const UpstreamIncarnation &Upstream) const;
   void sendLater(const UpstreamIncarnation &Upstream);
   void sendAltered();
 
--- a/packages/gateway/request/Forwarder.h
+++ b/packages/gateway/request/Forwarder.h
@@ -50,7 +50,7 @@
     ReplicaWeights m_Weights;
     AdmissionOptions m_Admission;
     Duration m_ConnectTimeout = 300ms;
-    PacingOptions m_Pace;
+    PacingOptions m_Pacing;
     StartupQueue::Options m_StartupQueue;
     std::size_t m_MaxAnswerBytes = 16 << 20; ///< Of a buffered answer.
   };
--- a/packages/gateway/request/ProxiedRequest.cpp
+++ b/packages/gateway/request/ProxiedRequest.cpp
@@ -56,7 +56,7 @@
                           .m_Body = m_Exchange->body()}),
                 Owner.m_State.m_Crashes, Owner.m_Crashes),
       m_Priority(enginePriority(*m_Config, MatchedRoute, Caller)),
-      m_Standing(m_Config, MatchedRoute, Caller, m_Request.m_Caller),
+      m_Authorization(m_Config, MatchedRoute, Caller, m_Request.m_Caller),
       m_Quota(Owner.m_Quotas, m_Organisation, quotaUnits(m_Request, Caller)),
       m_Permit(Owner.m_Loop, Owner.m_Permits, Owner.m_State.m_SendBounds,
                [this] { resume(); }),
@@ -77,7 +77,7 @@
   ServingState &State = m_Owner.m_State;
   State.m_Budget.recordRequest(m_Service, m_Arrived);
   if (m_Request.m_Deadline)
-    m_SinceFirstTry = State.m_Callers.timeSinceFirstAttempt(
+    m_SinceFirstTry = State.m_RetryDetector.timeSinceFirstAttempt(
         m_Route.m_Name, *m_Request.m_Deadline, m_Arrived);
   // A retry of the caller is not counted as demand again.
   if (!m_Request.m_Model.empty() && m_SinceFirstTry == 0us) {
@@ -107,7 +107,7 @@
 
 UpstreamEligibility ProxiedRequest::eligibility() const {
   const ServingState &State = m_Owner.m_State;
-  return {State.m_Upstreams, State.m_DataCentres, m_Standing.regions(),
+  return {State.m_Upstreams, State.m_DataCentres, m_Authorization.regions(),
           m_Service, m_Request};
 }
 
@@ -161,7 +161,7 @@
   if (!withinQuota(Now))
     return;
   if (const auto Delay = promptDelay(*Chosen, Now)) {
-    m_PaceTimer = m_Owner.m_Loop.after(*Delay, [Weak = weak_from_this()] {
+    m_PacingTimer = m_Owner.m_Loop.after(*Delay, [Weak = weak_from_this()] {
       if (const auto Self = Weak.lock())
         Self->resume();
     });
@@ -232,7 +232,7 @@
   if (m_Sends > 0 || !streaming() || m_Request.m_Model.empty() ||
       m_Permit.hasValidPermit(Now))
     return std::nullopt;
-  return pacingDelay(Facts, m_Owner.m_Opts.m_Pace);
+  return pacingDelay(Facts, m_Owner.m_Opts.m_Pacing);
 }
 
 AdmissionFacts
@@ -263,7 +263,7 @@
     return true;
   if (!Chosen && !eligibility().any()) {
     refuse(ErrorKind::NoAllowedUpstream, NoUpstreamRetryAfter,
-           m_Standing.regions().text());
+           m_Authorization.regions().text());
     return false;
   }
   if (!Chosen && !m_Request.m_Model.empty())
@@ -308,8 +308,8 @@
 /// while the request waits or between two sends. \returns whether the request
 /// may go on.
 bool ProxiedRequest::stillAllowed() {
-  m_Standing.update(m_Owner.m_State.m_Config);
-  const auto Refused = m_Standing.refusal();
+  m_Authorization.update(m_Owner.m_State.m_Config);
+  const auto Refused = m_Authorization.refusal();
   if (!Refused)
     return true;
   if (m_BytesPassed)
@@ -492,7 +492,7 @@
     return settle(SendOutcome::Broken);
   }
   if (const auto Service = m_Owner.m_Signals.lock())
-    Service->recordSignals(upstreamLife(), Facts, m_Send->m_At);
+    Service->recordSignals(upstreamIncarnation(), Facts, m_Send->m_At);
 }
 
 void ProxiedRequest::onBytes(std::string_view Bytes) {
@@ -545,10 +545,10 @@
   if (m_Done || !m_Send)
     return;
   if (End == HttpEnd::Broken)
-    m_Crashes.onConnectionBroken(upstreamLife(), m_Send->m_Started,
+    m_Crashes.onConnectionBroken(upstreamIncarnation(), m_Send->m_Started,
                                  EventLoop::now());
   if (End == HttpEnd::NotWritten)
-    m_Crashes.onConnectFailed(upstreamLife());
+    m_Crashes.onConnectFailed(upstreamIncarnation());
   settle(classify(End));
 }
 
@@ -571,7 +571,7 @@
   m_MayHaveRun = m_MayHaveRun || Outcome == SendOutcome::Broken ||
                  Outcome == SendOutcome::ServerError;
   if (completed(Outcome))
-    m_Crashes.onCompleted(upstreamLife());
+    m_Crashes.onCompleted(upstreamIncarnation());
   if (upstreamRestarted())
     return;
   if (Outcome == SendOutcome::Answered)
@@ -592,7 +592,7 @@
 /// \returns whether the upstream has restarted since the send. What an earlier
 /// incarnation did does not count for the present one.
 bool ProxiedRequest::upstreamRestarted() const {
-  return m_Owner.m_State.m_Upstreams.superseded(upstreamLife());
+  return m_Owner.m_State.m_Upstreams.superseded(upstreamIncarnation());
 }
 
 void ProxiedRequest::releaseLoad() {
@@ -690,8 +690,8 @@
 
 void ProxiedRequest::refuse(ErrorKind Kind, Duration RetryAfter,
                             std::string Detail) {
-  m_ToldRetryAfter = RetryAfter;
-  m_Quota.giveBack();
+  m_RefusalRetryAfter = RetryAfter;
+  m_Quota.refund();
   replyWithFailure(m_Exchange,
                    {.m_Kind = Kind,
                     .m_RetryAfter = RetryAfter,
@@ -734,11 +734,11 @@
   m_Call = HttpCallHandle();
   m_DeadlineTimer = Timer();
   m_WaitTimer = Timer();
-  m_PaceTimer = Timer();
+  m_PacingTimer = Timer();
   m_IdleMonitor.stop();
   const Duration First = m_FirstByte ? *m_FirstByte - m_Arrived : 0us;
   if (Outcome != "ok" && Outcome != answerFor(ErrorKind::CallerLeft).m_Code)
-    m_Owner.m_State.m_Callers.recordRefusal(m_Route.m_Name, Now);
+    m_Owner.m_State.m_RetryDetector.recordRefusal(m_Route.m_Name, Now);
   if (Outcome == "ok" && streaming() && m_FirstByte)
     m_Owner.m_State.m_Latency.observeHold(m_Request.m_Model,
                                           inMillis(Now - *m_FirstByte));
@@ -758,10 +758,10 @@
        {"expected_ms", std::lround(m_Choice.m_ExpectedMs)},
        {"pending_ms", std::lround(m_Choice.m_PendingMs)},
        {"judged", m_Choice.m_Reason},
-       {"regions", m_Standing.regions().text()},
+       {"regions", m_Authorization.regions().text()},
        {"serves_in_ms",
         m_Choice.m_ServesIn ? Json(*m_Choice.m_ServesIn / 1ms) : Json()},
-       {"told_ms", m_ToldRetryAfter / 1ms},
+       {"told_ms", m_RefusalRetryAfter / 1ms},
        {"target_ms", m_Route.m_Target / 1ms},
        {"gap_target_ms", m_Route.m_GapTarget / 1ms},
        {"first_ms", First / 1ms},
--- a/packages/gateway/request/ProxiedRequest.h
+++ b/packages/gateway/request/ProxiedRequest.h
@@ -101,7 +101,7 @@
   void settle(SendOutcome Outcome);
   void noteOutcome(SendOutcome Outcome, TimePoint Now);
   void releaseLoad();
-  UpstreamIncarnation upstreamLife() const {
+  UpstreamIncarnation upstreamIncarnation() const {
     return {.m_Id = m_Send->m_Instance, .m_StartTime = m_Send->m_StartTime};
   }
   bool completed(SendOutcome Outcome) const;
@@ -130,7 +130,7 @@
   std::string m_Organisation; ///< Empty if the caller belongs to none.
   CrashGuard m_Crashes;
   int m_Priority; ///< Priority that is sent to an engine.
-  RequestAuthorization m_Standing;
+  RequestAuthorization m_Authorization;
   RequestQuota m_Quota;
   bool m_AskingQuota = false; ///< A call to m_Quota.ask() is on the stack.
   RequestPermit m_Permit;
@@ -149,12 +149,12 @@
   std::optional<std::int64_t> m_LastEvent;
   std::optional<Send> m_Send;
   ChoiceDetails m_Choice;
-  Duration m_ToldRetryAfter = 0us; ///< Retry time in the refusal.
+  Duration m_RefusalRetryAfter = 0us; ///< Retry time in the refusal.
   EventSplitter m_Events;
   HttpCallHandle m_Call;
   Timer m_DeadlineTimer;
   Timer m_WaitTimer;
-  Timer m_PaceTimer;
+  Timer m_PacingTimer;
   StreamIdleMonitor m_IdleMonitor;
 };
 
--- a/packages/gateway/request/QuotaService.h
+++ b/packages/gateway/request/QuotaService.h
@@ -28,7 +28,7 @@
   virtual void acquire(const std::string &Organisation,
                        const QuotaRequest &Request, Done Callback) = 0;
   /// Returns \p Units that were granted but did not reach an upstream.
-  virtual void giveBack(const std::string &Organisation, double Units) = 0;
+  virtual void refund(const std::string &Organisation, double Units) = 0;
 };
 
 } // namespace havenstair
--- a/packages/gateway/request/RequestQuota.cpp
+++ b/packages/gateway/request/RequestQuota.cpp
@@ -19,7 +19,7 @@
 
 RequestQuota::~RequestQuota() {
   if (m_State == State::Granted)
-    giveBack();
+    refund();
 }
 
 void RequestQuota::ask(Duration Patience, Done Callback) {
@@ -41,17 +41,17 @@
         }
         // The request has ended meanwhile.
         if (const auto Service = WeakService.lock(); Service && Granted)
-          Service->giveBack(Organisation, Units);
+          Service->refund(Organisation, Units);
       });
 }
 
 void RequestQuota::noteSent() { m_State = State::Sent; }
 
-void RequestQuota::giveBack() {
+void RequestQuota::refund() {
   const bool HasUnits = m_State == State::Granted || m_State == State::Sent;
   m_State = State::Free;
   if (const auto Service = m_Service.lock(); Service && HasUnits && counted())
-    Service->giveBack(m_Organisation, m_Units);
+    Service->refund(m_Organisation, m_Units);
 }
 
 } // namespace havenstair
--- a/packages/gateway/request/RequestQuota.h
+++ b/packages/gateway/request/RequestQuota.h
@@ -55,7 +55,7 @@
   /// Records that the request has been sent.
   void noteSent();
   /// Returns the units of a request that did not run and will not.
-  void giveBack();
+  void refund();
 
 private:
   std::weak_ptr<QuotaService> m_Service;
--- a/packages/havenstaird/process/PolicySettings.cpp
+++ b/packages/havenstaird/process/PolicySettings.cpp
@@ -74,9 +74,9 @@
      }},
     {"--pace-gap-part", "part of the longest pause that prompt work may fill",
      0, 1000,
-     [](GatewayPolicy &P) -> double & { return P.m_Pace.m_MaxGapFraction; }},
+     [](GatewayPolicy &P) -> double & { return P.m_Pacing.m_MaxGapFraction; }},
     {"--pace-wait-part", "part of the target to wait for that", 0, 1,
-     [](GatewayPolicy &P) -> double & { return P.m_Pace.m_MaxWaitFraction; }},
+     [](GatewayPolicy &P) -> double & { return P.m_Pacing.m_MaxWaitFraction; }},
     {"--own-part", "part of the target that a request's own work may take", 0,
      1,
      [](GatewayPolicy &P) -> double & {
--- a/packages/havenstaird/request/ConcurrencyGate.cpp
+++ b/packages/havenstaird/request/ConcurrencyGate.cpp
@@ -62,7 +62,7 @@
   if (Home == m_Opts.m_Self)
     m_Home.setRunning(Group, m_Opts.m_Self, Running);
   else
-    m_Opts.m_Send(Home, LimitTellFrame{Group, Running});
+    m_Opts.m_Send(Home, LimitUpdateFrame{Group, Running});
 }
 
 void ConcurrencyGate::tick() {
@@ -89,7 +89,7 @@
     answer(Told->m_Id, Told->m_Allowed);
     return true;
   }
-  if (const auto *Count = std::get_if<LimitTellFrame>(&Frame)) {
+  if (const auto *Count = std::get_if<LimitUpdateFrame>(&Frame)) {
     m_Home.setRunning(Count->m_Group, From, Count->m_Running);
     return true;
   }
--- a/packages/wire/connection/CrashFrames.cpp
+++ b/packages/wire/connection/CrashFrames.cpp
@@ -20,17 +20,17 @@
   return Result;
 }
 
-Json toJson(const ToldBar &Bar) {
+Json toJson(const ReportedQuarantine &Bar) {
   return {{"request", Bar.m_Request.str()},
-          {"servers", Bar.m_Servers},
+          {"servers", Bar.m_Upstreams},
           {"by", Bar.m_By.str()},
           {"age_us", Bar.m_Age.count()},
           {"left_us", Bar.m_Left.count()}};
 }
 
-ToldBar barFromJson(const Json &From) {
+ReportedQuarantine barFromJson(const Json &From) {
   return {.m_Request = RequestDigest(field<std::string>(From, "request")),
-          .m_Servers = field<std::vector<InstanceId>>(From, "servers"),
+          .m_Upstreams = field<std::vector<InstanceId>>(From, "servers"),
           .m_By = BoxName(field<std::string>(From, "by")),
           .m_Age = durationField(From, "age_us"),
           .m_Left = durationField(From, "left_us")};
@@ -58,22 +58,22 @@
   Frame.m_Requests = digestsField(From, "requests");
 }
 
-Json toJson(const RanWellFrame &Frame) {
+Json toJson(const RequestClearedFrame &Frame) {
   return {{"request", Frame.m_Request.str()}};
 }
 
-void fromJson(const Json &From, RanWellFrame &Frame) {
+void fromJson(const Json &From, RequestClearedFrame &Frame) {
   Frame.m_Request = RequestDigest(field<std::string>(From, "request"));
 }
 
-Json toJson(const RequestBarsFrame &Frame) {
+Json toJson(const QuarantinesFrame &Frame) {
   Json Bars = Json::array();
-  for (const ToldBar &Each : Frame.m_Bars)
+  for (const ReportedQuarantine &Each : Frame.m_Bars)
     Bars.push_back(toJson(Each));
   return {{"bars", std::move(Bars)}};
 }
 
-void fromJson(const Json &From, RequestBarsFrame &Frame) {
+void fromJson(const Json &From, QuarantinesFrame &Frame) {
   for (const Json &Each : field<std::vector<Json>>(From, "bars"))
     Frame.m_Bars.push_back(barFromJson(Each));
 }
--- a/packages/wire/connection/CrashFrames.h
+++ b/packages/wire/connection/CrashFrames.h
@@ -27,41 +27,41 @@
 };
 
 /// A server ran a suspected request to an end and lives.
-struct RanWellFrame {
+struct RequestClearedFrame {
   RequestDigest m_Request;
 
-  bool operator==(const RanWellFrame &) const = default;
+  bool operator==(const RequestClearedFrame &) const = default;
 };
 
 /// One barred request. Clocks differ from box to box, so times are told as they
 /// are from now on.
-struct ToldBar {
+struct ReportedQuarantine {
   RequestDigest m_Request;
-  std::vector<InstanceId> m_Servers;
+  std::vector<InstanceId> m_Upstreams;
   BoxName m_By;
   Duration m_Age = 0us;
   Duration m_Left = 0us;
 
-  bool operator==(const ToldBar &) const = default;
+  bool operator==(const ReportedQuarantine &) const = default;
 };
 
 /// Bars that are new, or all of them to a box whose link has come up.
-struct RequestBarsFrame {
-  std::vector<ToldBar> m_Bars;
+struct QuarantinesFrame {
+  std::vector<ReportedQuarantine> m_Bars;
 
-  bool operator==(const RequestBarsFrame &) const = default;
+  bool operator==(const QuarantinesFrame &) const = default;
 };
 
 Json toJson(const CrashFrame &Frame);
 Json toJson(const CrashSuspectsFrame &Frame);
-Json toJson(const RanWellFrame &Frame);
-Json toJson(const RequestBarsFrame &Frame);
+Json toJson(const RequestClearedFrame &Frame);
+Json toJson(const QuarantinesFrame &Frame);
 
 /// \throws DecodeError for a value of another form.
 void fromJson(const Json &From, CrashFrame &Frame);
 void fromJson(const Json &From, CrashSuspectsFrame &Frame);
-void fromJson(const Json &From, RanWellFrame &Frame);
-void fromJson(const Json &From, RequestBarsFrame &Frame);
+void fromJson(const Json &From, RequestClearedFrame &Frame);
+void fromJson(const Json &From, QuarantinesFrame &Frame);
 
 } // namespace havenstair
 
--- a/packages/wire/connection/FleetFrames.cpp
+++ b/packages/wire/connection/FleetFrames.cpp
@@ -98,10 +98,10 @@
     Result["age"] = Frame.m_ListAge / 1ms;
   if (Frame.m_Reads)
     Result["reads"] = true;
-  if (Frame.m_Giving)
+  if (Frame.m_Leading)
     Result["giving"] = true;
-  Result["token"] = Frame.m_Holder.m_Token;
-  Result["holder"] = Frame.m_Holder.m_Box.str();
+  Result["token"] = Frame.m_Leader.m_Token;
+  Result["holder"] = Frame.m_Leader.m_Box.str();
   Result["loads"] = toJson(Frame.m_Loads);
   if (Frame.m_LoadsApart)
     Result["loads_apart"] = true;
@@ -131,8 +131,8 @@
   Frame.m_ListAge =
       std::min<Duration>(NoListAge, std::chrono::milliseconds(Age));
   Frame.m_Reads = fieldOr<bool>(From, "reads", false);
-  Frame.m_Giving = fieldOr<bool>(From, "giving", false);
-  Frame.m_Holder = {.m_Token = field<FencingToken>(From, "token"),
+  Frame.m_Leading = fieldOr<bool>(From, "giving", false);
+  Frame.m_Leader = {.m_Token = field<FencingToken>(From, "token"),
                     .m_Box = idField<BoxName>(From, "holder")};
   Frame.m_Loads = loadsFrom(From);
   Frame.m_LoadsApart = fieldOr<bool>(From, "loads_apart", false);
--- a/packages/wire/connection/FleetFrames.h
+++ b/packages/wire/connection/FleetFrames.h
@@ -35,9 +35,9 @@
   /// The sender's copies of the store's keys were the store's state this long
   /// ago, or later; whole milliseconds.
   Duration m_ListAge = NoListAge;
-  bool m_Reads = false;  ///< The sender reads the store itself.
-  bool m_Giving = false; ///< The sender gives orders.
-  LeaderTerm m_Holder;   ///< Whom the sender knows to give orders.
+  bool m_Reads = false;   ///< The sender reads the store itself.
+  bool m_Leading = false; ///< The sender gives orders.
+  LeaderTerm m_Leader;    ///< Whom the sender knows to give orders.
   /// Through the sender and all boxes that it tells of: none of them is the
   /// receiver, or known to it from elsewhere.
   InstanceLoads m_Loads;
@@ -116,7 +116,7 @@
 
   bool operator==(const EngineContents &) const = default;
 
-  UpstreamIncarnation life() const {
+  UpstreamIncarnation incarnation() const {
     return {.m_Id = m_Engine, .m_StartTime = m_StartTime};
   }
 };
--- a/packages/wire/connection/PeerFrames.cpp
+++ b/packages/wire/connection/PeerFrames.cpp
@@ -412,11 +412,11 @@
   Frame.m_Allowed = field<bool>(From, "allowed");
 }
 
-Json toJson(const LimitTellFrame &Frame) {
+Json toJson(const LimitUpdateFrame &Frame) {
   return {{"group", Frame.m_Group.str()}, {"running", Frame.m_Running}};
 }
 
-void fromJson(const Json &From, LimitTellFrame &Frame) {
+void fromJson(const Json &From, LimitUpdateFrame &Frame) {
   Frame.m_Group = GroupName(field<std::string>(From, "group"));
   Frame.m_Running = field<int>(From, "running");
 }
--- a/packages/wire/connection/PeerFrames.h
+++ b/packages/wire/connection/PeerFrames.h
@@ -162,11 +162,11 @@
 };
 
 /// How many requests of a limited group run through the sender now.
-struct LimitTellFrame {
+struct LimitUpdateFrame {
   GroupName m_Group;
   int m_Running = 0;
 
-  bool operator==(const LimitTellFrame &) const = default;
+  bool operator==(const LimitUpdateFrame &) const = default;
 };
 
 /// The planner asks an owner for a move.
@@ -195,11 +195,11 @@
     HelloFrame, ProofFrame, ForwardFrame, CancelFrame, StartedFrame, HeadFrame,
     BytesFrame, EndedFrame, FailedFrame, DigestFrame, DemandFrame, TableFrame,
     AssignmentFrame, PlanFrame, MoveFrame, LimitAskFrame, LimitAnswerFrame,
-    LimitTellFrame, FleetDigestFrame, FleetWantFrame, FleetKeysFrame,
+    LimitUpdateFrame, FleetDigestFrame, FleetWantFrame, FleetKeysFrame,
     FleetContentsFrame, FleetMissingFrame, FleetLoadsFrame, QuotaAskFrame,
     QuotaAnswerFrame, QuotaUseFrame, PermitAskFrame, PermitAnswerFrame,
-    WarmUpNewsFrame, CrashFrame, CrashSuspectsFrame, RanWellFrame,
-    RequestBarsFrame, PackedFrame, FleetTotalsFrame, ServerWordFrame>;
+    ColdUpdateFrame, CrashFrame, CrashSuspectsFrame, RequestClearedFrame,
+    QuarantinesFrame, PackedFrame, FleetTotalsFrame, UpstreamSignalFrame>;
 
 /// Name of the kind of \p Frame, for metrics.
 std::string_view frameName(const PeerFrame &Frame);
--- a/packages/wire/connection/PermitFrames.cpp
+++ b/packages/wire/connection/PermitFrames.cpp
@@ -26,23 +26,23 @@
                      .m_After = durationField(From, "after_us")};
 }
 
-Json toJson(const WarmUpNewsFrame &Frame) {
-  return {{"server", Frame.m_Life.m_Id},
-          {"born", Frame.m_Life.m_StartTime},
+Json toJson(const ColdUpdateFrame &Frame) {
+  return {{"server", Frame.m_Incarnation.m_Id},
+          {"born", Frame.m_Incarnation.m_StartTime},
           {"cold_us", Frame.m_ColdFor.count()}};
 }
 
-void fromJson(const Json &From, WarmUpNewsFrame &Frame) {
-  Frame.m_Life = {.m_Id = field<std::string>(From, "server"),
-                  .m_StartTime = field<StartTime>(From, "born")};
+void fromJson(const Json &From, ColdUpdateFrame &Frame) {
+  Frame.m_Incarnation = {.m_Id = field<std::string>(From, "server"),
+                         .m_StartTime = field<StartTime>(From, "born")};
   Frame.m_ColdFor = durationField(From, "cold_us");
 }
 
-Json toJson(const ServerWordFrame &Frame) {
-  Json Result{{"server", Frame.m_Life.m_Id},
-              {"born", Frame.m_Life.m_StartTime}};
-  if (Frame.m_LimitPerS) {
-    Result["per_s"] = *Frame.m_LimitPerS;
+Json toJson(const UpstreamSignalFrame &Frame) {
+  Json Result{{"server", Frame.m_Incarnation.m_Id},
+              {"born", Frame.m_Incarnation.m_StartTime}};
+  if (Frame.m_LimitPerSecond) {
+    Result["per_s"] = *Frame.m_LimitPerSecond;
     Result["age_us"] = Frame.m_LimitAge.count();
   }
   if (Frame.m_LimitEnded)
@@ -52,9 +52,9 @@
   return Result;
 }
 
-void fromJson(const Json &From, ServerWordFrame &Frame) {
-  Frame.m_Life = {.m_Id = field<std::string>(From, "server"),
-                  .m_StartTime = field<StartTime>(From, "born")};
+void fromJson(const Json &From, UpstreamSignalFrame &Frame) {
+  Frame.m_Incarnation = {.m_Id = field<std::string>(From, "server"),
+                         .m_StartTime = field<StartTime>(From, "born")};
   Frame.m_LimitEnded = fieldOr(From, "limit_ended", false);
   Frame.m_Leaving = fieldOr(From, "leaving", false);
   if (!From.contains("per_s"))
@@ -62,7 +62,7 @@
   const auto PerS = field<double>(From, "per_s");
   if (!(PerS >= 0))
     throw DecodeError("a limit below zero");
-  Frame.m_LimitPerS = PerS;
+  Frame.m_LimitPerSecond = PerS;
   Frame.m_LimitAge = durationField(From, "age_us");
 }
 
--- a/packages/wire/connection/PermitFrames.h
+++ b/packages/wire/connection/PermitFrames.h
@@ -29,35 +29,35 @@
 };
 
 /// A server that was believed to be warm has said that it is cold.
-struct WarmUpNewsFrame {
-  UpstreamIncarnation m_Life;
+struct ColdUpdateFrame {
+  UpstreamIncarnation m_Incarnation;
   Duration m_ColdFor = 0us;
 
-  bool operator==(const WarmUpNewsFrame &) const = default;
+  bool operator==(const ColdUpdateFrame &) const = default;
 };
 
 /// What a server has said of itself in an answer.
-struct ServerWordFrame {
-  UpstreamIncarnation m_Life;
+struct UpstreamSignalFrame {
+  UpstreamIncarnation m_Incarnation;
   /// Requests a second; empty when this frame names no limit.
-  std::optional<double> m_LimitPerS;
+  std::optional<double> m_LimitPerSecond;
   bool m_LimitEnded = false; ///< It names none any more.
   Duration m_LimitAge = 0us; ///< Since it was first named.
   bool m_Leaving = false;    ///< It leaves, for the rest of its life.
 
-  bool operator==(const ServerWordFrame &) const = default;
+  bool operator==(const UpstreamSignalFrame &) const = default;
 };
 
 Json toJson(const PermitAskFrame &Frame);
 Json toJson(const PermitAnswerFrame &Frame);
-Json toJson(const WarmUpNewsFrame &Frame);
-Json toJson(const ServerWordFrame &Frame);
+Json toJson(const ColdUpdateFrame &Frame);
+Json toJson(const UpstreamSignalFrame &Frame);
 
 /// \throws DecodeError for a value of another form.
 void fromJson(const Json &From, PermitAskFrame &Frame);
 void fromJson(const Json &From, PermitAnswerFrame &Frame);
-void fromJson(const Json &From, WarmUpNewsFrame &Frame);
-void fromJson(const Json &From, ServerWordFrame &Frame);
+void fromJson(const Json &From, ColdUpdateFrame &Frame);
+void fromJson(const Json &From, UpstreamSignalFrame &Frame);
 
 } // namespace havenstair
 
--- a/packages/wire/connection/QuotaFrames.cpp
+++ b/packages/wire/connection/QuotaFrames.cpp
@@ -62,7 +62,7 @@
 
 Json toJson(const QuotaUseFrame &Frame) {
   Json Words = Json::array();
-  for (const auto &[Organisation, Word] : Frame.m_Words)
+  for (const auto &[Organisation, Word] : Frame.m_Reports)
     Words.push_back(
         Json::array({Organisation, Word.m_Used, Word.m_Recent, Word.m_Level}));
   return {{"boxes", Frame.m_Boxes},
@@ -77,9 +77,9 @@
   for (const Json &Each : field<std::vector<Json>>(From, "words")) {
     if (!Each.is_array() || Each.size() != Parts || !Each[0].is_string())
       throw DecodeError("use of a quota has the wrong form");
-    Frame.m_Words[Each[0].get<std::string>()] = {.m_Used = units(Each[1]),
-                                                 .m_Recent = units(Each[2]),
-                                                 .m_Level = units(Each[3])};
+    Frame.m_Reports[Each[0].get<std::string>()] = {.m_Used = units(Each[1]),
+                                                   .m_Recent = units(Each[2]),
+                                                   .m_Level = units(Each[3])};
   }
 }
 
--- a/packages/wire/connection/QuotaFrames.h
+++ b/packages/wire/connection/QuotaFrames.h
@@ -32,7 +32,7 @@
 struct QuotaUseFrame {
   std::uint32_t m_Boxes = 0; ///< It counts for so many, itself among them.
   bool m_Settled = false;    ///< Its levels are not those it started with.
-  QuotaReports m_Words;      ///< Of organisations with news.
+  QuotaReports m_Reports;    ///< Of organisations with news.
 
   bool operator==(const QuotaUseFrame &) const = default;
 };
--- a/tests/decisions/process/AdapterPlannerTest.cpp
+++ b/tests/decisions/process/AdapterPlannerTest.cpp
@@ -59,10 +59,10 @@
           "[adapters]") {
   const EngineLedger A = ledger({"a2"});
   std::vector<AdapterEngine> Engines{{.m_Id = "a", .m_Ledger = &A}};
-  Engines[0].m_Fresh = {{"m", "a2"}};
+  Engines[0].m_RecentlyLoaded = {{"m", "a2"}};
   REQUIRE(planAdapters(Engines, {{"m", "a1"}, {"m", "a2"}}, {}, spec(1), {})
               .empty());
-  Engines[0].m_Fresh.clear();
+  Engines[0].m_RecentlyLoaded.clear();
   REQUIRE(planAdapters(Engines, {{"m", "a1"}, {"m", "a2"}}, {}, spec(1), {}) ==
           std::vector{move("a", false, "a2")});
 }
--- a/tests/decisions/process/ColdFleet.h
+++ b/tests/decisions/process/ColdFleet.h
@@ -27,16 +27,17 @@
   double m_Most = 0; ///< Arrivals allowed in any time of length `m_Span`.
 
   static FleetBound cold() {
-    return {.m_Bound = {.m_Cold = Spec, .m_LimitPerS = std::nullopt},
+    return {.m_Bound = {.m_Cold = Spec, .m_LimitPerSecond = std::nullopt},
             .m_RatePerSecond = Spec.m_RequestsPerSecond,
             .m_Span = 1s,
             .m_Most = Tolerance.maxRate(Spec)};
   }
   static FleetBound limit(double RatePerSecond) {
-    return {.m_Bound = {.m_Cold = std::nullopt, .m_LimitPerS = RatePerSecond},
-            .m_RatePerSecond = RatePerSecond,
-            .m_Span = 4s,
-            .m_Most = 4 * 1.5 * RatePerSecond + 5};
+    return {
+        .m_Bound = {.m_Cold = std::nullopt, .m_LimitPerSecond = RatePerSecond},
+        .m_RatePerSecond = RatePerSecond,
+        .m_Span = 4s,
+        .m_Most = 4 * 1.5 * RatePerSecond + 5};
   }
 };
 
@@ -63,10 +64,10 @@
 
 /// How boxes share the rate.
 enum class Strategy {
-  Admitter,     ///< As the product does it: one box issues permits.
-  FullAdmitter, ///< The same, but each issuer issues all that is allowed.
-  TimeSlots,    ///< Each box sends in time slots of its own, without messages.
-  Buckets       ///< Relays report to each other what they used.
+  Issuer,     ///< As the product does it: one box issues permits.
+  FullIssuer, ///< The same, but each issuer issues all that is allowed.
+  TimeSlots,  ///< Each box sends in time slots of its own, without messages.
+  Buckets     ///< Relays report to each other what they used.
 };
 
 /// Boxes and one upstream, for which requests arrive all the time. The first
@@ -171,14 +172,14 @@
   PermitIssuer permits() const { return PermitIssuer(Tolerance); }
   SendBound believed() const {
     SendBound Result = m_Bound.m_Bound;
-    if (m_Strategy == Strategy::FullAdmitter && Result.m_Cold)
+    if (m_Strategy == Strategy::FullIssuer && Result.m_Cold)
       Result.m_Cold->m_RequestsPerSecond *= 2.5;
-    if (m_Strategy == Strategy::FullAdmitter && Result.m_LimitPerS)
-      Result.m_LimitPerS = *Result.m_LimitPerS * 2.5;
+    if (m_Strategy == Strategy::FullIssuer && Result.m_LimitPerSecond)
+      Result.m_LimitPerSecond = *Result.m_LimitPerSecond * 2.5;
     return Result;
   }
   Quorum quorum() const {
-    return m_Bound.m_Bound.m_LimitPerS ? Quorum::Half : Quorum::Majority;
+    return m_Bound.m_Bound.m_LimitPerSecond ? Quorum::Half : Quorum::Majority;
   }
   QuotaLedger bucket() const {
     QuotaLedger Ledger({.m_Tolerance = {.m_Window = m_Bound.m_Span,
@@ -199,11 +200,11 @@
   void refreshRole(std::size_t At) {
     std::set<BoxName> Reached = m_Reached[At];
     Reached.insert(name(At));
-    const bool Admits =
-        admitterOf("e", m_Lists[At], Reached, quorum()) == name(At);
-    const bool First = admitterOf("e", m_Lists[At], m_Lists[At]) == name(At);
-    std::map<InstanceId, AdmittedUpstream> Upstreams;
-    if (Admits)
+    const bool Issues =
+        issuerOf("e", m_Lists[At], Reached, quorum()) == name(At);
+    const bool First = issuerOf("e", m_Lists[At], m_Lists[At]) == name(At);
+    std::map<InstanceId, IssuerAssignment> Upstreams;
+    if (Issues)
       Upstreams["e"] = {.m_First = First, .m_BoundSince = std::nullopt};
     m_Permits[At].setUpstreams(Upstreams, m_Now);
   }
@@ -303,13 +304,13 @@
     std::set<BoxName> Reached = m_Reached[Relay];
     if (Relay < LocalRelays)
       Reached.insert(name(Relay));
-    const auto Admitter = admitterOf("e", m_Lists[Relay], Reached, quorum());
+    const auto Issuer = issuerOf("e", m_Lists[Relay], Reached, quorum());
     for (std::size_t Other = 0; Other < LocalRelays; ++Other)
-      if (Admitter == name(Other) && linked(Relay, Other))
+      if (Issuer == name(Other) && linked(Relay, Other))
         later(Other == Relay ? 0us : delay(), Other,
-              [=, this] { atAdmitter(Other, Box, Asked); });
+              [=, this] { atIssuer(Other, Box, Asked); });
   }
-  void atAdmitter(std::size_t Relay, std::size_t Box, TimePoint Asked) {
+  void atIssuer(std::size_t Relay, std::size_t Box, TimePoint Asked) {
     answer(Box, Asked, m_Permits[Relay].ask("e", believed(), Patience, m_Now));
   }
   void answer(std::size_t Box, TimePoint Asked, const PermitVerdict &Verdict) {
--- a/tests/decisions/process/CrashTrackerTest.cpp
+++ b/tests/decisions/process/CrashTrackerTest.cpp
@@ -50,7 +50,7 @@
   Test.crash({Bad});
   REQUIRE(Test.quarantineSuspects() == std::vector{Bad});
   REQUIRE(Test.quarantined(Bad));
-  REQUIRE(Test.m_Tracker.findQuarantine(Bad, Test.m_Now)->m_Servers.size() ==
+  REQUIRE(Test.m_Tracker.findQuarantine(Bad, Test.m_Now)->m_Upstreams.size() ==
           3);
   REQUIRE(Test.m_Tracker.findQuarantine(Bad, Test.m_Now)->m_By == Box);
 }
@@ -210,7 +210,7 @@
 TEST_CASE("A quarantine that another box reports is taken over once",
           "[crash][decisions]") {
   TrackerTest Test;
-  const RequestQuarantine Reported{.m_Servers = {"i-1"},
+  const RequestQuarantine Reported{.m_Upstreams = {"i-1"},
                                    .m_By = BoxName("other"),
                                    .m_Since = Test.m_Now - 60s,
                                    .m_Until = TimePoint::max()};
--- a/tests/decisions/process/PermitIssuerTest.cpp
+++ b/tests/decisions/process/PermitIssuerTest.cpp
@@ -66,7 +66,7 @@
 TEST_CASE("Permits are issued as often as a window allows, and no more",
           "[warmup]") {
   PermitIssuer Permits(Tolerance);
-  const std::map<InstanceId, AdmittedUpstream> Own{{"e", {}}};
+  const std::map<InstanceId, IssuerAssignment> Own{{"e", {}}};
   const SendBound Cold = FleetBound::cold().m_Bound;
   const TimePoint Start(1000s);
   const TimePoint Open = Start + PermitIssuer::Window;
@@ -105,14 +105,14 @@
 
 TEST_CASE("Exactly one relay of a majority issues permits", "[warmup]") {
   const BoxName A("a"), B("b"), C("c");
-  const auto All = admitterOf("e", {A, B, C}, {A, B, C});
+  const auto All = issuerOf("e", {A, B, C}, {A, B, C});
   REQUIRE(All);
-  REQUIRE(admitterOf("e", {A, B, C}, {*All}) == std::nullopt);
+  REQUIRE(issuerOf("e", {A, B, C}, {*All}) == std::nullopt);
   std::set<BoxName> Others{A, B, C};
   Others.erase(*All);
-  REQUIRE(admitterOf("e", {A, B, C}, Others).has_value());
-  REQUIRE(admitterOf("e", {A}, {A, B}) == A);
-  REQUIRE(admitterOf("e", {}, {A, B}) == std::nullopt);
+  REQUIRE(issuerOf("e", {A, B, C}, Others).has_value());
+  REQUIRE(issuerOf("e", {A}, {A, B}) == A);
+  REQUIRE(issuerOf("e", {}, {A, B}) == std::nullopt);
 }
 
 TEST_CASE("No second exceeds the bound of a cold upstream during partitions, "
@@ -120,7 +120,7 @@
           "[warmup][property][proof]") {
   rc::prop("random faults", [] {
     const auto Seed = static_cast<std::uint64_t>(*drawn(1, 1000000));
-    ColdFleet Fleet(Strategy::Admitter, Seed, *drawn(5, 200) / 10.0);
+    ColdFleet Fleet(Strategy::Issuer, Seed, *drawn(5, 200) / 10.0);
     Dice Draw(Seed + 1);
     playFaults(Fleet, Draw, *drawn(4, 16));
     RC_ASSERT(static_cast<double>(Fleet.maxArrivalsInSpan()) <=
@@ -131,10 +131,10 @@
 TEST_CASE("Only a box that is the only issuer issues a whole limit",
           "[server-limit]") {
   const TimePoint Start(1000s);
-  const SendBound One{.m_Cold = std::nullopt, .m_LimitPerS = 1};
+  const SendBound One{.m_Cold = std::nullopt, .m_LimitPerSecond = 1};
   PermitIssuer Permits(Tolerance);
-  const auto Admit = [&](bool First, std::optional<TimePoint> Since,
-                         TimePoint Now) {
+  const auto AssignIssuer = [&](bool First, std::optional<TimePoint> Since,
+                                TimePoint Now) {
     Permits.setUpstreams({{"e", {.m_First = First, .m_BoundSince = Since}}},
                          Now);
   };
@@ -145,24 +145,24 @@
     return Sum;
   };
   SECTION("at once when the limit is new") {
-    Admit(true, Start - 100ms, Start);
+    AssignIssuer(true, Start - 100ms, Start);
     REQUIRE(Issued(Start, 20s) == 20);
   }
   SECTION("later when another box may issue permits, and a fraction at first") {
-    Admit(true, Start - 60s, Start);
+    AssignIssuer(true, Start - 60s, Start);
     REQUIRE_FALSE(Permits.ask("e", One, 1s, Start).m_Granted);
     REQUIRE(Issued(Start, PermitIssuer::ListConvergence) <= 5);
     REQUIRE(Issued(Start + PermitIssuer::ListConvergence, 20s) >= 18);
   }
   SECTION("a fraction for a standby, also when it has just become the first") {
-    Admit(false, Start - 100ms, Start);
+    AssignIssuer(false, Start - 100ms, Start);
     REQUIRE(Issued(Start, 20s) <= 8);
-    Admit(true, Start - 100ms, Start + 20s);
+    AssignIssuer(true, Start - 100ms, Start + 20s);
     REQUIRE(Issued(Start + 20s, PermitIssuer::ListConvergence) <= 6);
   }
   SECTION("a lower limit counts permits issued under the previous one") {
-    Admit(true, Start, Start);
-    const SendBound Ten{.m_Cold = std::nullopt, .m_LimitPerS = 10};
+    AssignIssuer(true, Start, Start);
+    const SendBound Ten{.m_Cold = std::nullopt, .m_LimitPerSecond = 10};
     for (int Count = 0; Count < 4; ++Count)
       Permits.ask("e", Ten, 500ms, Start);
     REQUIRE_FALSE(Permits.ask("e", One, 500ms, Start + 200ms).m_Granted);
@@ -196,7 +196,7 @@
     const FleetBound Bound =
         FleetBound::limit(*rc::gen::element(0.5, 1.0, 2.5, 6.0, 20.0, 60.0));
     const std::size_t Boxes = *rc::gen::element<std::size_t>(10, 90, 295, 986);
-    ColdFleet Fleet(Strategy::Admitter, Seed, *drawn(5, 100) / 10.0, Bound,
+    ColdFleet Fleet(Strategy::Issuer, Seed, *drawn(5, 100) / 10.0, Bound,
                     Boxes);
     Dice Draw(Seed + 1);
     playFaults(Fleet, Draw, *drawn(4, 16));
@@ -206,15 +206,14 @@
 
 TEST_CASE("Most of an advertised limit is used while callers wait",
           "[server-limit]") {
-  const Results Built =
-      measure(Strategy::Admitter, 20, 3, FleetBound::limit(1));
+  const Results Built = measure(Strategy::Issuer, 20, 3, FleetBound::limit(1));
   REQUIRE(Built.m_Worst <= 1);
   REQUIRE(Built.m_Used >= 0.8);
 }
 
 TEST_CASE("Strategies to keep a limit are compared", "[.][limit-ways]") {
   for (const Strategy How :
-       {Strategy::Admitter, Strategy::TimeSlots, Strategy::Buckets})
+       {Strategy::Issuer, Strategy::TimeSlots, Strategy::Buckets})
     for (const double RatePerSecond : {0.5, 1.0, 10.0})
       for (const std::size_t Boxes : {std::size_t{10}, std::size_t{90},
                                       std::size_t{295}, std::size_t{986}}) {
@@ -230,26 +229,25 @@
 
 TEST_CASE("The oracle detects issuers that each issue all that is allowed",
           "[warmup]") {
-  REQUIRE(measure(Strategy::FullAdmitter, 200, 20).m_Worst > 1);
+  REQUIRE(measure(Strategy::FullIssuer, 200, 20).m_Worst > 1);
 }
 
 TEST_CASE("The oracle detects issuers that issue more than a limit",
           "[server-limit]") {
-  REQUIRE(
-      measure(Strategy::FullAdmitter, 50, 20, FleetBound::limit(10)).m_Worst >
-      1);
+  REQUIRE(measure(Strategy::FullIssuer, 50, 20, FleetBound::limit(10)).m_Worst >
+          1);
 }
 
 TEST_CASE("Most of a cold upstream's rate is used while callers wait",
           "[warmup]") {
-  const Results Built = measure(Strategy::Admitter, 20, 3);
+  const Results Built = measure(Strategy::Issuer, 20, 3);
   REQUIRE(Built.m_Worst <= 1);
   REQUIRE(Built.m_Used >= 0.8);
 }
 
 TEST_CASE("Strategies to keep one rate are compared", "[.][warmup-ways]") {
   for (const Strategy How :
-       {Strategy::Admitter, Strategy::TimeSlots, Strategy::Buckets})
+       {Strategy::Issuer, Strategy::TimeSlots, Strategy::Buckets})
     for (const double Load : {1.0, 3.0, 20.0}) {
       const Results Result = measure(How, 400, Load);
       UNSCOPED_INFO("strategy " << static_cast<int>(How) << ", load " << Load
--- a/tests/decisions/process/QuotaLedgerTest.cpp
+++ b/tests/decisions/process/QuotaLedgerTest.cpp
@@ -351,7 +351,7 @@
                  Now);
   REQUIRE(Ledger.level("o", Now) == Before + 200);
   REQUIRE(Ledger.trySpend("o", {.m_Units = 300}, Now).granted());
-  Ledger.giveBack("o", 300, Now);
+  Ledger.refund("o", 300, Now);
   REQUIRE(Ledger.level("o", Now) == Before + 200);
 }
 
--- a/tests/decisions/process/ReplicaPlannerTest.cpp
+++ b/tests/decisions/process/ReplicaPlannerTest.cpp
@@ -165,7 +165,7 @@
     Input.m_Demand = {{model(0), 0.3}, {model(6), 0.02}};
     Input.m_Awaited = {model(6)};
     for (PlannedEngine &Each : Input.m_Engines)
-      Each.m_Fresh = Each.m_Models;
+      Each.m_RecentlyLoaded = Each.m_Models;
     REQUIRE(planReplicas(Input, Spec, {}, 1).empty());
   }
 }
@@ -195,7 +195,7 @@
   Input.m_Engines = {engine(0, {model(0), model(1), model(2)}),
                      engine(1, {model(0), model(3)})};
   // Only the replica of the first model could go.
-  Input.m_Engines[0].m_Fresh = {model(1), model(2)};
+  Input.m_Engines[0].m_RecentlyLoaded = {model(1), model(2)};
   Input.m_Engines[1].m_Loading = {{model(0), 1000}};
   Input.m_Engines[1].m_Movable = false;
   Input.m_Demand = {{model(3), 3.0}};
@@ -225,7 +225,7 @@
   const auto Before = planReplicas(Input, Narrow, {}, 1);
   REQUIRE(Before.size() == 1);
   REQUIRE_FALSE(Before.front().m_Evict.empty());
-  Input.m_Engines[0].m_Fresh = {Before.front().m_Evict};
+  Input.m_Engines[0].m_RecentlyLoaded = {Before.front().m_Evict};
   const auto After = planReplicas(Input, Narrow, {}, 1);
   REQUIRE((After.empty() || After.front().m_Evict != Before.front().m_Evict));
 }
--- a/tests/decisions/request/ReplicaChoiceTest.cpp
+++ b/tests/decisions/request/ReplicaChoiceTest.cpp
@@ -29,8 +29,8 @@
   FailureTracker m_Failures;
   DataCentreMap m_DataCentres;
   WarmUpView m_WarmUp;
-  UpstreamSignals m_Words;
-  SendBounds m_Bounds{m_WarmUp, m_Words};
+  UpstreamSignals m_Signals;
+  SendBounds m_Bounds{m_WarmUp, m_Signals};
 
   std::optional<ChosenReplica>
   choose(const std::vector<const UpstreamInstance *> &Candidates,
@@ -175,7 +175,8 @@
   UpstreamStats Stats;
   const UpstreamInstance Limited = engine("limited");
   const UpstreamInstance Unlimited = engine("unlimited");
-  Stats.m_Words.mergeLimit(Limited.incarnation(), 1, BoxName("b"), 0s, at(1s));
+  Stats.m_Signals.mergeLimit(Limited.incarnation(), 1, BoxName("b"), 0s,
+                             at(1s));
   const auto Chosen = [&] {
     return *Stats.choose({&Limited, &Unlimited}, prompt(0, 10));
   };
--- a/tests/gateway/ManagedEngineTest.cpp
+++ b/tests/gateway/ManagedEngineTest.cpp
@@ -66,7 +66,7 @@
   Engine.m_Ledger.applyReport(Report, at(0s));
   Engine.keepModels({"kept", "elsewhere"}, at(10s));
   const auto Fresh = [&](TimePoint Now) {
-    return Engine.modelPlanEntry({}, 1, 6s, Now).m_Fresh;
+    return Engine.modelPlanEntry({}, 1, 6s, Now).m_RecentlyLoaded;
   };
   REQUIRE(Fresh(at(9s)) == std::set<std::string>{"kept"});
   REQUIRE(Fresh(at(15s)) == std::set<std::string>{"kept"});
--- a/tests/gateway/RequestQuotaTest.cpp
+++ b/tests/gateway/RequestQuotaTest.cpp
@@ -14,7 +14,7 @@
                Done Callback) override {
     m_Queries.push_back(std::move(Callback));
   }
-  void giveBack(const std::string &, double Units) override {
+  void refund(const std::string &, double Units) override {
     m_GivenBack += Units;
   }
 
@@ -45,7 +45,7 @@
   {
     RequestQuota Refused(Service, "o", 30);
     Grant(Refused);
-    Refused.giveBack();
+    Refused.refund();
   }
   REQUIRE(Service->m_GivenBack == 730);
   {
@@ -76,7 +76,7 @@
   Quota.ask(0us, [](const auto &) {});
   Service->m_Queries.at(0)(Granted);
   Service.reset();
-  Quota.giveBack();
+  Quota.refund();
   bool HasVerdict = true;
   Quota.ask(0us,
             [&](const auto &Verdict) { HasVerdict = Verdict.has_value(); });
--- a/tests/soak/ServerWordsOracle.cpp
+++ b/tests/soak/ServerWordsOracle.cpp
@@ -5,12 +5,13 @@
 void ServerWordsOracle::said(const EngineWords &Words,
                              const CallerRequest &Request) {
   const EngineAndBox Key{Words.m_Engine, Request.m_Box};
-  if (!Words.m_LimitPerS)
+  if (!Words.m_LimitPerSecond)
     m_Limits.erase(Words.m_Engine);
   else if (Limit &Of = m_Limits[Words.m_Engine];
-           Of.m_PerS != *Words.m_LimitPerS || Of.m_Since == TimePoint{})
-    Of = {
-        .m_PerS = *Words.m_LimitPerS, .m_Since = Words.m_At, .m_Arrivals = {}};
+           Of.m_PerS != *Words.m_LimitPerSecond || Of.m_Since == TimePoint{})
+    Of = {.m_PerS = *Words.m_LimitPerSecond,
+          .m_Since = Words.m_At,
+          .m_Arrivals = {}};
   if (Words.m_Leaving)
     m_Leaving.try_emplace(Key, Words.m_At);
   if (Words.m_RetryAfter > 0us)
--- a/tests/soak/ServerWordsOracleTest.cpp
+++ b/tests/soak/ServerWordsOracleTest.cpp
@@ -46,7 +46,7 @@
 TEST_CASE("The soak's oracle counts what a limited engine gets over all boxes",
           "[soak][oracle]") {
   WordsStory Story;
-  Story.say(0s, {.m_LimitPerS = 1});
+  Story.say(0s, {.m_LimitPerSecond = 1});
   for (int Number = 0; Number < 20; ++Number)
     Story.arrive(1s + Number * 10ms);
   REQUIRE(Story.broken().empty());
@@ -108,7 +108,7 @@
 TEST_CASE("The soak's oracle forgets words of an engine that starts again",
           "[soak][oracle]") {
   WordsStory Story;
-  Story.say(0s, {.m_LimitPerS = 1, .m_Leaving = true, .m_RetryAfter = 9s});
+  Story.say(0s, {.m_LimitPerSecond = 1, .m_Leaving = true, .m_RetryAfter = 9s});
   Story.m_Oracle.words().startedAgain("e");
   for (int Number = 0; Number < 20; ++Number)
     Story.arrive(4s + Number * 10ms);
--- a/tests/soak/SoakEngine.cpp
+++ b/tests/soak/SoakEngine.cpp
@@ -123,7 +123,7 @@
   m_Link.setListening(true);
   ++m_Lives;
   m_Active = 0;
-  m_LimitPerS.reset();
+  m_LimitPerSecond.reset();
   m_SaysLeaving = false;
   m_RetryAfter = 0us;
   // A process that starts is not leaving, whatever the one before did.
@@ -171,15 +171,15 @@
   const Duration After = TurnedAway ? m_RetryAfter : 0us;
   m_Oracle.said({.m_Id = Of.header("x-attempt-id"),
                  .m_Engine = m_Id,
-                 .m_LimitPerS = m_LimitPerS,
+                 .m_LimitPerSecond = m_LimitPerSecond,
                  .m_Leaving = m_SaysLeaving,
                  .m_RetryAfter = After,
                  .m_At = EventLoop::now()});
   std::string Result;
   if (m_Silent)
     return Result;
-  if (m_LimitPerS)
-    Result += "Server-Limit: " + std::to_string(*m_LimitPerS) + "\r\n";
+  if (m_LimitPerSecond)
+    Result += "Server-Limit: " + std::to_string(*m_LimitPerSecond) + "\r\n";
   if (m_SaysLeaving)
     Result += "Server-Leaving: 1\r\n";
   if (After > 0us)
--- a/tests/soak/SoakEngine.h
+++ b/tests/soak/SoakEngine.h
@@ -50,7 +50,7 @@
   void setLate(Duration Late) { m_Late = Late; }
   void setOrdersLate(Duration Late) { m_OrdersLate = Late; }
   /// Answers name a limit from now on, or none.
-  void nameLimit(std::optional<double> PerS) { m_LimitPerS = PerS; }
+  void nameLimit(std::optional<double> PerS) { m_LimitPerSecond = PerS; }
   /// Answers say that it leaves, and the store does not hear of it.
   void sayLeaving() { m_SaysLeaving = true; }
   /// Requests are turned away, with a time to retry after.
@@ -112,7 +112,7 @@
   int m_Surplus = 0;
   bool m_Spoiling = false;
   bool m_Withholding = false;
-  std::optional<double> m_LimitPerS;
+  std::optional<double> m_LimitPerSecond;
   bool m_SaysLeaving = false;
   Duration m_RetryAfter = 0us;
   bool m_Silent = false;
--- a/tests/soak/SoakEvents.h
+++ b/tests/soak/SoakEvents.h
@@ -138,7 +138,7 @@
 struct EngineWords {
   std::string m_Id; ///< Of the request.
   std::string m_Engine;
-  std::optional<double> m_LimitPerS;
+  std::optional<double> m_LimitPerSecond;
   bool m_Leaving = false;
   Duration m_RetryAfter = 0us; ///< For which the box is to keep away.
   TimePoint m_At;
--- a/tests/wire/PeerFramesTest.cpp
+++ b/tests/wire/PeerFramesTest.cpp
@@ -127,8 +127,8 @@
   Frame.m_Reads = *rc::gen::arbitrary<bool>();
   Frame.m_ListAge = std::min<Duration>(
       NoListAge, std::chrono::milliseconds(*rc::gen::inRange(0, 4'000'000)));
-  Frame.m_Giving = *rc::gen::arbitrary<bool>();
-  Frame.m_Holder = {.m_Token = *rc::gen::arbitrary<std::uint64_t>(),
+  Frame.m_Leading = *rc::gen::arbitrary<bool>();
+  Frame.m_Leader = {.m_Token = *rc::gen::arbitrary<std::uint64_t>(),
                     .m_Box = boxName(*drawn(0, 9))};
   Frame.m_Loads = drawnLoads();
   Frame.m_Demand[{"s", "m", "a"}] = {.m_Requests = 1.0 * *drawn(0, 90),
@@ -159,10 +159,10 @@
 QuotaUseFrame drawnUse() {
   return {.m_Boxes = *drawn(0U, 300U),
           .m_Settled = *rc::gen::arbitrary<bool>(),
-          .m_Words = {{"o",
-                       {.m_Used = *drawn(0, 9000) / 2.0,
-                        .m_Recent = *drawn(-90, 90) / 2.0,
-                        .m_Level = *drawn(-9000, 9000) / 4.0}}}};
+          .m_Reports = {{"o",
+                         {.m_Used = *drawn(0, 9000) / 2.0,
+                          .m_Recent = *drawn(-90, 90) / 2.0,
+                          .m_Level = *drawn(-9000, 9000) / 4.0}}}};
 }
 
 PackedFrame packed(const PeerFrame &Frame) {
@@ -202,7 +202,7 @@
           MoveFrame{{"id", drawnMove(), boxName(1), 1700000000000}},
           LimitAskFrame{Attempt, groupName(1), *drawn(0, 9), *drawn(0, 9)},
           LimitAnswerFrame{Attempt, *rc::gen::arbitrary<bool>()},
-          LimitTellFrame{groupName(2), *drawn(0, 9)},
+          LimitUpdateFrame{groupName(2), *drawn(0, 9)},
           drawnFleetDigest(),
           FleetWantFrame{Attempt, Attempt / 2, Attempt / 3},
           drawnKeys(),
@@ -224,24 +224,24 @@
           PermitAnswerFrame{Attempt,
                             {.m_Granted = *rc::gen::arbitrary<bool>(),
                              .m_After = Duration(*drawn(0, 9000000))}},
-          WarmUpNewsFrame{{.m_Id = "i-1", .m_StartTime = *drawn(0, 90000)},
+          ColdUpdateFrame{{.m_Id = "i-1", .m_StartTime = *drawn(0, 90000)},
                           Duration(*drawn(0, 9000000))},
           CrashFrame{{.m_Id = "i-1", .m_StartTime = *drawn(0, 90000)},
                      {RequestDigest(drawnText()), RequestDigest("d")}},
           CrashSuspectsFrame{{RequestDigest(drawnText())}},
-          RanWellFrame{RequestDigest(drawnText())},
-          RequestBarsFrame{{{.m_Request = RequestDigest("d"),
-                             .m_Servers = {"i-1", drawnText()},
+          RequestClearedFrame{RequestDigest(drawnText())},
+          QuarantinesFrame{{{.m_Request = RequestDigest("d"),
+                             .m_Upstreams = {"i-1", drawnText()},
                              .m_By = BoxName("box"),
                              .m_Age = Duration(*drawn(0, 9000000)),
                              .m_Left = Duration(*drawn(0, 9000000))}}},
           packed(CancelFrame{Attempt}),
           FleetTotalsFrame{Attempt, Attempt / 2, drawnLoads()},
-          ServerWordFrame{{.m_Id = "i-1", .m_StartTime = *drawn(0, 90000)},
-                          *drawn(0, 900) / 4.0,
-                          false,
-                          Duration(*drawn(0, 9000000)),
-                          *rc::gen::arbitrary<bool>()}};
+          UpstreamSignalFrame{{.m_Id = "i-1", .m_StartTime = *drawn(0, 90000)},
+                              *drawn(0, 900) / 4.0,
+                              false,
+                              Duration(*drawn(0, 9000000)),
+                              *rc::gen::arbitrary<bool>()}};
 }
 
 } // namespace
@@ -281,10 +281,11 @@
 }
 
 TEST_CASE("A word that names no limit comes back as it was", "[frames]") {
-  ServerWordFrame Word{.m_Life = {.m_Id = "i-1", .m_StartTime = 7}};
+  UpstreamSignalFrame Word{.m_Incarnation = {.m_Id = "i-1", .m_StartTime = 7}};
   Word.m_LimitEnded = GENERATE(true, false);
   Word.m_Leaving = GENERATE(true, false);
-  REQUIRE(std::get<ServerWordFrame>(decodeFrame(encodeFrame(Word))) == Word);
+  REQUIRE(std::get<UpstreamSignalFrame>(decodeFrame(encodeFrame(Word))) ==
+          Word);
 }
 
 // Numbers of kinds are what other builds read. A kind that is moved, or put
--- a/tests/wire/PeerMeshTest.cpp
+++ b/tests/wire/PeerMeshTest.cpp
@@ -126,7 +126,7 @@
       Loop.runUntil([&] { return Old.m_Ups == 1 && New.m_Ups == 1; }, Limit));
   REQUIRE(New.m_Mesh.protocolOf(BoxName("old")) == FirstProtocol);
   REQUIRE(Old.m_Mesh.protocolOf(BoxName("new")) == OwnProtocol);
-  const RanWellFrame Later{RequestDigest("d")};
+  const RequestClearedFrame Later{RequestDigest("d")};
   REQUIRE(New.m_Mesh.send(BoxName("old"), Later) == 0);
   REQUIRE(New.m_Mesh.send(BoxName("old"), CancelFrame{7}) > 0);
   REQUIRE(Old.m_Mesh.send(BoxName("new"), Later) > 0);
