--- a/tests/gateway/WatchCacheTest.cpp
+++ b/tests/gateway/WatchCacheTest.cpp
@@ -163,7 +163,7 @@
   EventLoop Loop;
   ManualStore Store;
   WatchCache Cache(Loop, Store, {.m_Prefix = "p"}, {.m_Changed = [] {}});
-  const auto makeDelta = [](StoreRevision Since, StoreRevision To, bool Part,
+  const auto MakeDelta = [](StoreRevision Since, StoreRevision To, bool Part,
                             const std::string &Key) {
     return WatchCache::Delta{.m_Since = Since,
                              .m_Revision = To,
@@ -171,31 +171,31 @@
                              .m_Items = {{.m_Key = Key, .m_Value = "1"}},
                              .m_Gone = {}};
   };
-  REQUIRE(Cache.adopt(makeDelta(0, 5, true, "p/a")));
+  REQUIRE(Cache.adopt(MakeDelta(0, 5, true, "p/a")));
   REQUIRE(Cache.partial());
   SECTION("changes of the other kind are rejected") {
-    REQUIRE_FALSE(Cache.adopt(makeDelta(5, 6, false, "p/b")));
+    REQUIRE_FALSE(Cache.adopt(MakeDelta(5, 6, false, "p/b")));
     REQUIRE(Cache.items().size() == 1);
-    REQUIRE(Cache.adopt(makeDelta(5, 6, true, "p/b")));
+    REQUIRE(Cache.adopt(MakeDelta(5, 6, true, "p/b")));
     REQUIRE(Cache.items().size() == 2);
   }
   SECTION("a change outside the part only raises the revision") {
     int Changes = 0;
     WatchCache Other(Loop, Store, {.m_Prefix = "p"},
                      {.m_Changed = [&] { ++Changes; }});
-    REQUIRE(Other.adopt(makeDelta(0, 5, true, "p/a")));
+    REQUIRE(Other.adopt(MakeDelta(0, 5, true, "p/a")));
     REQUIRE(Other.adopt({.m_Since = 5, .m_Revision = 6, .m_Part = true}));
     REQUIRE(Other.revision() == 6);
     REQUIRE(Changes == 1);
   }
   SECTION("a whole list replaces it, even at the same revision") {
-    REQUIRE(Cache.adopt(makeDelta(0, 5, false, "p/b")));
+    REQUIRE(Cache.adopt(MakeDelta(0, 5, false, "p/b")));
     REQUIRE_FALSE(Cache.partial());
     REQUIRE(Cache.items().contains("p/b"));
     REQUIRE(Cache.items().size() == 1);
   }
   SECTION("but an older one does not") {
-    REQUIRE(Cache.adopt(makeDelta(0, 4, false, "p/b")));
+    REQUIRE(Cache.adopt(MakeDelta(0, 4, false, "p/b")));
     REQUIRE(Cache.partial());
   }
   SECTION("and a list read from the store is whole") {
