--- a/packages/decisions/process/CrashTracker.cpp
+++ b/packages/decisions/process/CrashTracker.cpp
@@ -204,8 +204,9 @@
   });
 }
 
-/// Of the requests that qualify for quarantine, the one with most crashes: its
-/// quarantine may explain the crashes of the others.
+/// \returns the request with most crashes among those that qualify for
+/// quarantine, as its quarantine may explain the crashes of the others; empty
+/// when none qualifies.
 std::optional<RequestDigest> CrashTracker::primeSuspect(TimePoint Now) const {
   std::optional<RequestDigest> Result;
   std::size_t Most = 0;
--- a/packages/gateway/process/GatewayPolicy.h
+++ b/packages/gateway/process/GatewayPolicy.h
@@ -21,8 +21,8 @@
   PlannerOptions m_Planner;
   AdapterOptions m_Adapters;
   DemandRates::Options m_Rates;
-  double m_MinReplicaLifetimeMs =
-      6000; ///< How long a wanted replica stays at least.
+  /// Shortest time in milliseconds for which a replica with demand is kept.
+  double m_MinReplicaLifetimeMs = 6000;
 };
 
 } // namespace havenstair
--- a/packages/gateway/process/ListFollower.cpp
+++ b/packages/gateway/process/ListFollower.cpp
@@ -270,7 +270,7 @@
   const BoxName First = m_Hooks.m_NextHopToLeader();
   if (confirms(First, Now) || !m_Deps.m_Fleet.topology().relay())
     return First;
-  // Of several boxes that read, all but the first by name stop.
+  // When several boxes read the list, all but the first by name stop.
   const bool Reads = m_Deps.m_Upstreams.running();
   const auto Other = std::find_if(
       m_PeerLists.begin(), m_PeerLists.end(), [&](const auto &Each) {
--- a/packages/gateway/process/WatchCache.h
+++ b/packages/gateway/process/WatchCache.h
@@ -153,8 +153,8 @@
   std::map<std::string, StoreRevision> m_TakenRevisions;
   StoreRevision m_TakenRevision = 0;
   StoreRevision m_Revision = 0;
-  StoreRevision m_WatchedTo =
-      0; ///< No key has changed from m_Revision up to here.
+  /// No key has changed from m_Revision up to this revision.
+  StoreRevision m_WatchedTo = 0;
   /// Revision that a short watch without changes reported, and when; trusted
   /// only after HistoryLossWindow.
   StoreRevision m_UnchangedTo = 0;
--- a/packages/gateway/request/Forwarder.h
+++ b/packages/gateway/request/Forwarder.h
@@ -52,7 +52,8 @@
     Duration m_ConnectTimeout = 300ms;
     PacingOptions m_Pacing;
     StartupQueue::Options m_StartupQueue;
-    std::size_t m_MaxAnswerBytes = 16 << 20; ///< Of a buffered answer.
+    /// Largest answer that is buffered before it is passed on, in bytes.
+    std::size_t m_MaxAnswerBytes = 16 << 20;
   };
   struct Hooks {
     /// Called when a request waits for a model or adapter that no upstream
--- a/packages/gateway/request/ProxiedRequest.h
+++ b/packages/gateway/request/ProxiedRequest.h
@@ -136,7 +136,7 @@
   RequestPermit m_Permit;
   TimePoint m_Arrived;
   TimePoint m_Deadline;
-  Duration m_SinceFirstTry = 0us; ///< Zero if this is the first try.
+  Duration m_SinceFirstTry = 0us; ///< Zero for a first try.
   std::set<InstanceId> m_Tried;   ///< Upstreams that it was sent to.
   int m_Sends = 0;
   bool m_MayHaveRun = false;  ///< An upstream may have run the request.
--- a/packages/gateway/request/RequestPermit.h
+++ b/packages/gateway/request/RequestPermit.h
@@ -50,8 +50,8 @@
   struct Deferral {
     /// Time until a permit may be available, or the upstream needs none.
     Duration m_After = 0us;
-    bool m_Limited =
-        false; ///< The upstream sets a limit; otherwise it is cold.
+    /// Whether the upstream sets a limit; otherwise it is cold.
+    bool m_Limited = false;
   };
   /// \returns the shortest deferral; empty if no upstream is deferred.
   std::optional<Deferral> deferral(TimePoint Now) const;
--- a/packages/havenstair/request/LoadCommand.h
+++ b/packages/havenstair/request/LoadCommand.h
@@ -30,7 +30,7 @@
   /// Time from the start of a burst to the start of the next; 0: no bursts.
   Duration m_BurstPeriod = 10s;
   Duration m_SendDuration = 10s; ///< How long requests are sent.
-  int m_MaxTokens = 16;          ///< Of each answer.
+  int m_MaxTokens = 16;          ///< Most tokens of an answer.
   bool m_Stream = true;          ///< Asks for streamed answers.
   std::uint64_t m_Seed = 1;
   Duration m_FirstTokenTarget = 680ms; ///< Longest time to the first token.
--- a/packages/havenstair/request/LossesCommand.h
+++ b/packages/havenstair/request/LossesCommand.h
@@ -48,7 +48,7 @@
 
 /// How the credit of a try that was not answered in time is computed.
 struct CreditWeights {
-  double m_LateCredit = 0.3; ///< Of a late answer; one in time earns 1.
+  double m_LateCredit = 0.3; ///< A late answer earns this; one in time, 1.
   /// Subtracted for an unserved wait as long as the target or longer; shorter
   /// waits cost their fraction of it.
   double m_UnservedWaitPenalty = 1;
--- a/tests/gateway/WatchCacheTest.cpp
+++ b/tests/gateway/WatchCacheTest.cpp
@@ -69,7 +69,7 @@
                           .m_Items = {{.m_Key = "p/a", .m_Value = "1"}},
                           .m_At = 9});
     REQUIRE(Changes == 1);
-    // But the copy is as new as that read: other boxes compare revisions.
+    // The copy has that read's revision, which other boxes compare.
     REQUIRE(Cache.revision() == 9);
   }
 }
