--- a/packages/decisions/process/Placement.cpp
+++ b/packages/decisions/process/Placement.cpp
@@ -313,7 +313,8 @@
     for (const ArtifactName &Name : Serving) {
       const bool Needed = State.m_Input.m_Callable.count(Name) != 0 ||
                           State.hasAdaptersOf(Engine, Name);
-      // Kept while nothing else needs its memory, to save a move.
+      // Kept while nothing else needs its memory: one move fewer for operators
+      // to understand.
       const bool Crowded = Engine.m_Available < Engine.m_Held.at(Name);
       if (!Needed && Crowded && Engine.m_Ready)
         State.unload(Engine, Name, MoveReason::NotCallable,
--- a/packages/gateway/process/LeafSubsets.h
+++ b/packages/gateway/process/LeafSubsets.h
@@ -51,9 +51,8 @@
     StoreRevision m_Revision = 0;
     TimePoint m_SentAt{};
     Keys m_Keys;
-    std::optional<EncodedFrame>
-        /// The whole subset as of m_Revision, once it was requested.
-        m_Snapshot;
+    /// The whole subset as of m_Revision; empty before it is requested.
+    std::optional<EncodedFrame> m_Snapshot;
   };
 
   static Keys keys(const UpstreamSubset::Selection &Upstreams,
--- a/packages/gateway/process/ListFollower.h
+++ b/packages/gateway/process/ListFollower.h
@@ -161,13 +161,11 @@
   };
   std::map<std::string, EncodedSnapshot> m_Snapshots; ///< By prefix.
   std::map<BoxName, PeerLists> m_PeerLists;
-  TimePoint
-      /// Latest time at which this box's list was known as the store's state.
-      m_ListConfirmedAt{};
+  /// Latest time at which this box's list was known as the store's state.
+  TimePoint m_ListConfirmedAt{};
   BoxName m_ListSource; ///< The box whose lists this one follows.
-  TimePoint m_SentConfirmedAt =
-      /// The time as of which this box last confirmed its lists to others.
-      EventLoop::now();
+  /// The time as of which this box last confirmed its lists to others.
+  TimePoint m_SentConfirmedAt = EventLoop::now();
   TimePoint m_StartedAt = EventLoop::now();
   /// When the list was last reread because another box had a newer one.
   TimePoint m_ListReadAt{};
